--- a/dispatch-choose.c
+++ b/dispatch-choose.c
@@ -1,19 +1,19 @@
 /*
- * Which engine an entry node reserves on: at random, weighted by what each can
- * carry, and by what this node has seen of it.
+ * Chooses the engine that an entry node reserves: at random, weighted by the
+ * capacity of each engine and its recent performance for this node.
  */
 
 #define LOG_PART "dispatch"
 #include "dispatch-private.h"
 
-/* Part of the first-token target that the engine may use. */
+/* Part of the first-token target that the engine itself may use. */
 #define SUITED_PART 0.6
-/* How much less such engines are picked: unsuited, or failed lately. */
+/* Weight factors of engines that miss the targets, or failed recently. */
 #define UNSUITED 0.02
 #define FAILED 0.001
-/* Starting guess for an engine's slots when weighing it. */
+/* Slots assumed for an engine that has not reported any. */
 #define SLOTS_GUESS 4
-/* How long an engine is avoided after failures, at first and at most. */
+/* How long an engine is avoided after a failure, in ms: first and maximum. */
 #define FAILED_FIRST 300
 #define FAILED_MOST (10 * MSEC_SECOND)
 
@@ -44,8 +44,8 @@
 }
 
 /*
- * Whether the engine, as we have seen it, can meet the targets: a long prompt
- * on a slow engine misses its first token even when it need not wait.
+ * Whether the engine can meet the targets, by its measured speed: a long prompt
+ * on a slow engine misses the first-token target even without waiting.
  */
 static bool
 candidate_suits(const struct dispatch_request_state *st, const struct engine *e)
@@ -62,7 +62,7 @@
 	return c->whole_answer == 0 || whole <= c->whole_answer;
 }
 
-/* The engine to avoid is better than none. */
+/* The engine to avoid is used if the service has no other. */
 static bool
 candidate_usable(
     const struct dispatch_request_state *st, const struct engine *e)
@@ -72,7 +72,7 @@
 	return e->id != st->request->avoid || st->service->nengines == 1;
 }
 
-/* Engines differ in capacity, so each is picked by what it can carry. */
+/* Weight in the random choice: slots divided by the time per token. */
 static double
 candidate_weight(
     msec now, const struct dispatch_request_state *st, const struct engine *e)
@@ -103,7 +103,8 @@
 			continue;
 		w = candidate_weight(now, st, e);
 		sum += w;
-		/* Each is the one kept with a chance of w of the sum. */
+		/* Weighted reservoir sampling: keeps e with probability w /
+		 * sum. */
 		if (best == NULL || g_rand_double(d->priv->rand) * sum < w)
 			best = e;
 	}
--- a/dispatch-dump.c
+++ b/dispatch-dump.c
@@ -1,5 +1,5 @@
 /*
- * The state of dispatch as text, for people.
+ * Prints the state of dispatch as text for operators.
  */
 
 #define LOG_PART "dispatch"
@@ -8,7 +8,7 @@
 static void dump_queue(GString *, const struct engine *);
 static void dump_engine(GString *, msec, const struct engine *);
 
-/* The classes that wait: how many, and what their floor is owed. */
+/* Queued requests and floor credit of each class that has any queued. */
 static void
 dump_queue(GString *s, const struct engine *e)
 {
--- a/dispatch-entry.c
+++ b/dispatch-entry.c
@@ -1,44 +1,46 @@
 /*
- * The entry node's side: each request of our callers, the owners it waits
- * with, and the first grant, which wins.
+ * The entry node's side of dispatch: reserves slots with the owners of several
+ * engines for each request and takes the first grant. The routing of callers'
+ * requests to backend servers is in entry.c.
  */
 
 #define LOG_PART "dispatch"
 #include "dispatch-private.h"
 
-/* A free engine grants within this; then one owner is not enough. */
+/* Time for the first owner to grant before more are tried, in ms. */
 #define WIDEN_FIRST 10
-/* Owners to wait with then. */
+/* Reservations to keep open after that. */
 #define LEGS_USUAL 2
 #define LEGS_PROTECTED 4
-/* And at most; LEGS_MAX for protected classes. */
+/* Maximum for other classes; LEGS_MAX for protected ones. */
 #define LEGS_USUAL_MOST 4
-/* One more owner, or two, after so long without a grant. */
+/* Time without a grant before one or two owners are added; doubles. */
 #define WIDEN_USUAL (1 * MSEC_SECOND)
 #define WIDEN_PROTECTED 200
-/* A reservation is sent again after so long, doubling. */
+/* Interval in ms before a reservation is sent again; doubles up to the maximum.
+ */
 #define AGAIN_FIRST 300
 #define AGAIN_MOST 4800
-/* After an owner has said that it waits, for what must not wait for long. */
+/* The same after an SP_QUEUED reply, for requests that are never refused. */
 #define AGAIN_KEEP 1000
-/* An owner that has not answered for so long is silent. */
+/* An owner that has not replied for this time is given up, in ms. */
 #define SILENT_AFTER 900
-/* When no owner would have it: ask again after so long. */
+/* Time before all owners are tried again once all have refused, in ms. */
 #define RETRY_ROUND 150
-/* Engines that may say no before a request of a low tier is refused. */
+/* Refusals by owners after which an unprotected request is refused. */
 #define REFUSALS_MOST 4
-/* And when so many of the class's requests end that way anyway. */
+/* The same if more than REFUSED_PART of its class are refused. */
 #define REFUSALS_FEW 2
 #define REFUSED_PART 0.25
-/* Least part of a target that is left for waiting, and part kept spare. */
+/* Minimum part of a target allowed for waiting, and part kept in reserve. */
 #define SLACK_LEAST 0.1
 #define SLACK_SPARE 0.15
-/* The longest time after which a refused caller is told to come back. */
+/* Maximum retry delay reported to a refused caller. */
 #define RETRY_MOST (30 * MSEC_SECOND)
-/* Most that is left for waiting when the target is over: a reservation that is
- * lost and sent again fits in. */
+/* Maximum wait in ms once the target has passed: long enough to send a lost
+ * reservation again. */
 #define LATE_WITHIN 500
-/* A broken stream should go on within this. */
+/* Time within which a broken stream should continue. */
 #define RESUME_WITHIN (2 * MSEC_SECOND)
 
 static void request_due(struct dispatch *, msec, struct timer *);
@@ -150,9 +152,9 @@
 	st->nlegs = 0;
 }
 
-/* ---- the life of a request ---- */
+/* ---- requests ---- */
 
-/* When most are refused, asking many owners costs more than it finds. */
+/* If many of a class are refused, further owners are unlikely to grant. */
 static unsigned int
 refusals_most(const struct dispatch_request_state *st)
 {
@@ -168,7 +170,7 @@
 	struct engine *e;
 	struct leg *leg;
 
-	/* Enough owners have said no: wait with those that have not. */
+	/* After enough refusals, wait only for the owners that remain. */
 	if (!st->keep && st->refusals >= refusals_most(st))
 		want = st->nlegs;
 	while (st->nlegs < MIN(want, LEGS_MAX)) {
@@ -185,11 +187,11 @@
 }
 
 /*
- * Until when a grant is of use: what the class's targets and the caller's
- * deadline leave when the usual service time is taken off. A target that
- * cannot be met even without waiting leaves a small part for waiting, so that
- * an idle system still runs the request; so does one that is over, as the
- * request waited for its organisation's limit or ran on a server that failed.
+ * Latest time at which a start is useful: the class's targets and the caller's
+ * deadline less the usual service time. A target that cannot be met even
+ * without waiting still allows a short wait, so that an idle system runs the
+ * request. So does a target that has passed because the request waited for its
+ * organisation's limit or ran on a server that failed.
  */
 static msec
 request_start_by(msec now, const struct dispatch_request_state *st)
@@ -247,14 +249,14 @@
 {
 	struct dispatch_request *r = st->request;
 
-	log_debug("request %u is refused, reason %d, %u owners said no, start "
-		  "was %" PRId64 " ms after it came",
+	log_debug("request %u refused, reason %d, %u refusals by owners, start "
+		  "limit %" PRId64 " ms after arrival",
 	    r->id, why, st->refusals, st->start_by - r->arrived);
 	average_add(&st->class->refused_part, 1);
 	legs_cancel(d, st, NULL);
 	request_free(d, st);
 	d->counters.refused++;
-	/* Lest all that were refused at once come back at once. */
+	/* Jitter, so that callers refused together do not retry together. */
 	after = MIN(after, RETRY_MOST);
 	after *= g_rand_double_range(d->priv->rand, 0.75, 1.25);
 	d->ops->refused(d, r, why, after);
@@ -313,7 +315,7 @@
 	timer_set(d, &st->timer, at);
 }
 
-/* One that has answered is asked again later, and may take that longer. */
+/* After a reply the reservation is sent less often, so the limit is longer. */
 static bool
 leg_is_silent(
     msec now, const struct dispatch_request_state *st, const struct leg *leg)
@@ -326,9 +328,9 @@
 }
 
 /*
- * Guards against an owner that is paused or cut off while membership has not
- * noticed: its queue never moves. It shows as reservations sent again without
- * an answer; nothing has run, so reserving elsewhere is safe.
+ * Sends reservations again, and gives up owners that do not reply: such an
+ * owner may be paused or disconnected before the membership detects it. Nothing
+ * has run there, so reserving another engine is safe.
  */
 static void
 legs_again(struct dispatch *d, msec now, struct dispatch_request_state *st)
@@ -343,7 +345,8 @@
 			continue;
 		}
 		if (leg_is_silent(now, st, leg)) {
-			log_debug("owner %" PRIx64 " is silent", leg->owner);
+			log_debug(
+			    "owner %" PRIx64 " does not reply", leg->owner);
 			send_cancel(
 			    d, leg->owner, leg->engine->id, st->request->id);
 			choose_not_again(st, leg->engine->id);
@@ -383,8 +386,8 @@
 }
 
 /*
- * No owner would have it. True if it is refused for good: never a protected
- * one, which asks again until it runs or its caller leaves.
+ * All owners have refused. Returns true if the request was refused; protected
+ * and resumed requests are not, they retry until they run or are cancelled.
  */
 static bool
 request_give_up(struct dispatch *d, struct dispatch_request_state *st)
@@ -399,7 +402,7 @@
 	return true;
 }
 
-/* All have said no, which may be different now. */
+/* Tries all engines again after all of them refused. */
 static void
 request_round(struct dispatch *d, msec now, struct dispatch_request_state *st)
 {
@@ -465,7 +468,7 @@
 	request_free(d, st);
 }
 
-/* ---- what owners say ---- */
+/* ---- messages from owners ---- */
 
 static struct dispatch_request_state *
 request_find(struct dispatch *d, unsigned int id)
@@ -474,9 +477,9 @@
 }
 
 /*
- * Guards against running a request twice: a grant counts only while the
- * request waits with that very owner. A late, doubled or stale one (an owner
- * that was paused, a second owner) is given back.
+ * A grant is accepted only while the request has a reservation open with that
+ * owner, so that no request runs twice. Late, duplicate or stale grants, such
+ * as from a paused or a second owner, are returned with SP_CANCEL.
  */
 void
 entry_on_grant(struct dispatch *d, msec now, name_id from, const sp_grant *m)
@@ -494,7 +497,7 @@
 		return;
 	if (st == NULL || st->phase != REQUEST_WAITING || e == NULL ||
 	    e->leaving || leg_find(st, m->engine, from) == NULL) {
-		log_debug("grant of %u is given back", m->id);
+		log_debug("grant of %u returned", m->id);
 		send_cancel(d, from, m->engine, m->id);
 		return;
 	}
@@ -582,9 +585,9 @@
 }
 
 /*
- * Guards against a queue that died with its owner: what waited there is
- * reserved with the new owner at once, and what runs is reported to it, so
- * that its counts are right before it grants.
+ * The queue of the old owner may be lost. Reservations are sent to the new
+ * owner at once, and running requests are reported to it first, so that its
+ * counts are correct before it grants.
  */
 void
 entry_owner_changed(struct dispatch *d, msec now, struct engine *e, name_id old)
@@ -621,7 +624,7 @@
 	return first << 8 | st->request->class_index;
 }
 
-/* The list is on the stack, so to ourselves it goes without the queue. */
+/* To the local node directly: the list is on the stack and cannot be queued. */
 static void
 entry_send_running(
     struct dispatch *d, msec now, struct engine *e, const sp_msg *m)
@@ -634,7 +637,7 @@
 	    d, now, d->priv->self, d->priv->incarnation, &m->sp_msg_u.running);
 }
 
-/* Tell the engine's owner what we have running there. */
+/* Reports this node's running requests on the engine to its owner. */
 void
 entry_report_running(struct dispatch *d, msec now, struct engine *e)
 {
--- a/dispatch-learn.c
+++ b/dispatch-learn.c
@@ -1,15 +1,15 @@
 /*
- * Numbers that are learned: moving averages, and answer lengths in a histogram
- * with four buckets to each doubling, which forgets by halving, so that it
- * follows a change within some hundred answers.
+ * Statistics of dispatch: moving averages, and a histogram of answer lengths
+ * with four buckets per power of two. Its counts are halved at intervals, so
+ * that it follows a change within a few hundred answers.
  */
 
 #define LOG_PART "dispatch"
 #include "dispatch-private.h"
 
-/* Halve the counts when there are so many. */
+/* Number of samples at which all counts are halved. */
 #define LENGTH_MEMORY 1000
-/* Said of a class that has no answers yet. */
+/* Length in tokens assumed for a class without answers. */
 #define LENGTH_DEFAULT 200
 
 /* Weight of a new sample in the moving averages. */
@@ -18,7 +18,7 @@
 static unsigned int length_bucket(unsigned int);
 static unsigned int length_value(unsigned int);
 
-/* The two bits below the highest say which quarter of the doubling. */
+/* The two bits below the highest select the quarter of the power of two. */
 static unsigned int
 length_bucket(unsigned int n)
 {
--- a/dispatch-owner.c
+++ b/dispatch-owner.c
@@ -1,21 +1,21 @@
 /*
- * The owner's side: for each engine that this node owns, the reservations
- * that wait, the grants that run, and who is next when a slot opens.
+ * The owner's side of dispatch: for each engine that this node owns, keeps the
+ * queued and granted reservations and grants slots as they become free.
  */
 
 #define LOG_PART "dispatch"
 #include "dispatch-private.h"
 
-/* A new owner waits so long for the entry nodes to say what is running. */
+/* Time in ms that a new owner waits for reports of running requests. */
 #define REBUILD_HOLD 200
-/* And so long learns from them how many slots the owner before it had. */
+/* Time in which it adopts the previous owner's slot limit from them. */
 #define REBUILD_SLOTS (2 * MSEC_SECOND)
-/* A reservation waits with several owners: part of a queue goes away. */
+/* Requests queue with several owners, so that part of a queue is cancelled. */
 #define DOUBLE_BOOKED 1.5
-/* How long a failing engine gets nothing, at first and at most. */
+/* Pause in ms of a failing engine: first and maximum. */
 #define FAILED_FIRST 500
 #define FAILED_MOST (15 * MSEC_SECOND)
-/* A request waits so long before it takes an engine that does not suit it. */
+/* Wait after which a request may run on an engine too slow for its class. */
 #define UNFIT_WAIT (1 * MSEC_SECOND)
 #define RETRY_LEAST 500
 #define RETRY_MOST (30 * MSEC_SECOND)
@@ -89,7 +89,7 @@
 	g_free(res);
 }
 
-/* One that another owner has granted; not counted yet. */
+/* Adds one that another owner granted; not yet counted as running. */
 static struct reservation *
 reservation_add(struct owned *o, name_id node, uint64_t incarnation,
     const sp_running_one *one)
@@ -157,7 +157,7 @@
 	    e->id, res->id, res->class_index, e->own->running);
 }
 
-/* The slots that are stated for a plain backend server are its bound. */
+/* The configured slots of a plain backend server are a hard limit. */
 static unsigned int
 owner_limit(const struct engine *e)
 {
@@ -175,13 +175,13 @@
 
 	if (e->leaving || now < o->hold_until || now < o->failed_until)
 		return false;
-	/* After a failure one request at a time, until one comes through. */
+	/* After a failure one request at a time, until one succeeds. */
 	if (o->failures > 0)
 		return o->running == 0;
 	return o->running < owner_limit(e);
 }
 
-/* A pause in granting is over. */
+/* Resumes granting after a pause. */
 static void
 owner_wake(struct dispatch *d, msec now, struct timer *t)
 {
@@ -189,10 +189,10 @@
 }
 
 /*
- * Guards the classes that matter against an engine that has become slow or
- * has just failed: which shows as tokens slower than the class's target, or
- * as a failure since the last success. Those who have a better choice get it;
- * what has waited for long has none, and low tiers probe the engine.
+ * Skips classes whose between-tokens target the engine misses, and protected
+ * classes if it has failed since its last success: their requests may still get
+ * a better engine. Requests that have waited UNFIT_WAIT are not skipped, and
+ * other classes probe the engine.
  */
 static void
 owner_skip(struct engine *e, msec now, bool skip[DOCUMENT_CLASSES_MAX])
@@ -230,7 +230,7 @@
 	}
 }
 
-/* Tokens a millisecond that the engine makes when full. */
+/* Tokens per ms that the engine generates when full; 0: unknown. */
 static double
 owner_rate(const struct engine *e)
 {
@@ -260,8 +260,8 @@
 }
 
 /*
- * Guards the bound on the queue: when it is full, the newcomer takes the place
- * of one of a lower tier, or is refused. A protected one is never a victim.
+ * If the queue is full, evicts a reservation of a lower tier, never a protected
+ * one. Returns false if there is none.
  */
 static bool
 owner_make_room(struct dispatch *d, msec now, struct engine *e,
@@ -281,7 +281,7 @@
 	return true;
 }
 
-/* The entry node asks again: it has not heard of us, or waits for long. */
+/* A reservation sent again: repeats the reply, which may have been lost. */
 static void
 owner_again(
     struct dispatch *d, msec now, struct engine *e, struct reservation *res)
@@ -293,7 +293,7 @@
 		owner_send_queued(d, now, e, res);
 }
 
-/* It waits: the entry node need not ask again soon. */
+/* Reports the expected wait; the entry node sends again less often then. */
 static void
 owner_send_queued(
     struct dispatch *d, msec now, struct engine *e, struct reservation *res)
@@ -330,9 +330,9 @@
 		owner_send_queued(d, now, e, res);
 		return;
 	}
-	/* Better told now than after a wait that cannot end well. */
+	/* It could not start in time: refuse it now. */
 	d->counters.hopeless++;
-	log_debug("engine %" PRIx64 " refuses %u, %" PRId64 " ms to wait",
+	log_debug("engine %" PRIx64 " refuses %u, expected wait %" PRId64 " ms",
 	    e->id, res->id, wait);
 	owner_refuse(d, res->node, e->id, res->id, SP_HOPELESS,
 	    retry_after(wait - (res->start_by - now)));
@@ -424,7 +424,7 @@
 	one->first_token = first_token;
 }
 
-/* Learn from a request's first token, once. */
+/* Records a request's first token, once. */
 static void
 owner_first(msec now, struct engine *e, struct reservation *res,
     unsigned int first_token)
@@ -465,9 +465,8 @@
 }
 
 /*
- * Renews the grants, and guards against counts that are lost with an old
- * owner: what an entry node says is running takes a slot here, whether we
- * granted it or the owner before us.
+ * Renews the grants of an entry node. Requests that it reports as running
+ * occupy slots also if a previous owner granted them, whose counts are lost.
  */
 void
 owner_on_running(struct dispatch *d, msec now, name_id node,
@@ -522,7 +521,7 @@
 		timer_set(d, &o->wake, o->hold_until);
 	}
 	d->counters.owner_changes++;
-	log_debug("engine %" PRIx64 " is ours", e->id);
+	log_debug("now owner of engine %" PRIx64, e->id);
 }
 
 void
@@ -538,10 +537,10 @@
 	}
 	timer_clear(d, &e->own->wake);
 	owner_forget(e);
-	log_debug("engine %" PRIx64 " is no longer ours", e->id);
+	log_debug("no longer owner of engine %" PRIx64, e->id);
 }
 
-/* Free an owned engine's state without a word to anyone. */
+/* Frees an owned engine's state without sending refusals. */
 void
 owner_forget(struct engine *e)
 {
@@ -555,7 +554,7 @@
 	e->own = NULL;
 }
 
-/* An entry node died, or came back as a newer one: its slots are free. */
+/* Frees the reservations of an entry node that died or restarted. */
 void
 owner_node_gone(
     struct dispatch *d, msec now, name_id node, uint64_t incarnation)
@@ -577,8 +576,8 @@
 }
 
 /*
- * Guards against slots and queue places that leak when a message is lost or an
- * entry node vanishes: what is not sent again or renewed goes.
+ * Drops reservations that were not sent again or renewed in time, so that lost
+ * messages and failed entry nodes do not leak slots.
  */
 static void
 owner_sweep(struct dispatch *d, msec now, struct engine *e)
@@ -599,7 +598,7 @@
 		if (res->node == d->priv->self || now - res->seen < expiry)
 			continue;
 		log_debug(
-		    "engine %" PRIx64 " drops %u, not renewed", e->id, res->id);
+		    "engine %" PRIx64 " drops %u: not renewed", e->id, res->id);
 		reservation_free(o, res);
 	}
 	slots_stalled(&o->slots, now, o->running, stalled);
--- a/dispatch-policy.c
+++ b/dispatch-policy.c
@@ -1,7 +1,7 @@
 /*
- * The policies. "owner" is the one to use: engines have owners that queue.
- * The others are the baselines that it is measured against: the entry node
- * picks an engine at once and the engine queues inside.
+ * Dispatch policies. "owner" is for production: engines have owners that
+ * queue. The others are baselines for comparison: the entry node picks an
+ * engine at once, and requests queue inside the engine.
  */
 
 #define LOG_PART "dispatch"
@@ -117,7 +117,7 @@
 	return engine_nth(st, st->service->next++ % engine_count(st));
 }
 
-/* Ties are broken at random, lest all nodes pick the same one. */
+/* Ties are broken at random so that nodes do not all pick the same engine. */
 static struct engine *
 pick_least_load(struct dispatch *d, struct dispatch_request_state *st)
 {
--- a/dispatch-private.h
+++ b/dispatch-private.h
@@ -1,5 +1,5 @@
 /*
- * What the dispatch-*.c files share; no other part includes this.
+ * Declarations shared by the dispatch-*.c files only.
  */
 
 #ifndef DISPATCH_PRIVATE_H
@@ -10,46 +10,46 @@
 #include <inttypes.h>
 #include <string.h>
 
-/* How many owners one request may wait with at a time. */
+/* Reservations that one request may have open at a time. */
 #define LEGS_MAX 8
-/* Engines that have said no to one request, remembered to ask others. */
+/* Engines that refused a request and are not tried again in this round. */
 #define TRIED_MAX 32
-/* Reservations queued for one engine. */
+/* Maximum reservations queued for one engine. */
 #define QUEUE_MAX 512
-/* A queued reservation is dropped if it is not sent again for so long. */
+/* Time after which a queued reservation expires unless it is sent again. */
 #define QUEUED_EXPIRY (10 * MSEC_SECOND)
-/* A grant is dropped if the entry node does not renew it for so long. */
+/* Time after which a grant expires unless the entry node renews it. */
 #define GRANT_EXPIRY (3500)
-/* How often an entry node says what it has running. */
+/* Interval between an entry node's reports of its running requests. */
 #define RUNNING_EVERY (1 * MSEC_SECOND)
-/* In sp_running_one: this entry node does not report first tokens. */
+/* In sp_running_one: the entry node does not report first tokens. */
 #define FIRST_UNTOLD 0xffffff
-/* Prompt tokens that an empty prompt is taken for. */
+/* Fixed cost of any prompt, in prompt tokens. */
 #define PROMPT_BASE 200
-/* How often an owner looks for what has expired. */
+/* Interval between an owner's checks for expired reservations, in ms. */
 #define SWEEP_EVERY (500)
 
 /* ---- timers ---- */
 
 struct timer {
 	RB_ENTRY(timer) entry;
-	msec at;      /* MSEC_NEVER: not set */
-	uint64_t seq; /* those due together fire in the order set */
+	msec at;      /* MSEC_NEVER: not armed */
+	uint64_t seq; /* breaks ties: armed first fires first */
 	void (*fire)(struct dispatch *, msec, struct timer *);
 };
 RB_HEAD(timer_tree, timer);
 
 void timer_set(struct dispatch *, struct timer *, msec);
 void timer_clear(struct dispatch *, struct timer *);
-/* Fire what is due. */
+/* Fires all timers that are due. */
 void timers_run(struct dispatch *, msec);
 msec timers_next(struct dispatch *);
 
-/* ---- learned numbers ---- */
+/* ---- statistics ---- */
 
 #define LENGTH_BUCKETS 64
 
-/* A running distribution of answer lengths, in tokens. */
+/* Decaying histogram of answer lengths, in tokens. */
 struct lengths {
 	uint32_t count[LENGTH_BUCKETS];
 	uint32_t total;
@@ -59,7 +59,7 @@
 /* The length that `permille` of the answers do not exceed. */
 unsigned int lengths_quantile(const struct lengths *, unsigned int);
 unsigned int lengths_mean(const struct lengths *);
-/* Into a moving average; 0 is unknown. */
+/* Updates an exponential moving average; 0: no sample yet. */
 void average_add(double *, double);
 
 /* ---- services and classes ---- */
@@ -73,7 +73,7 @@
 	msec between_tokens;
 	msec whole_answer;
 	struct lengths lengths;
-	double refused_part; /* moving average, at this entry node */
+	double refused_part; /* moving average at this entry node, 0 to 1 */
 };
 
 struct service {
@@ -84,8 +84,8 @@
 	GHashTable *weights; /* organisation to weight */
 	TAILQ_HEAD(, engine) engines;
 	unsigned int nengines;
-	unsigned int next; /* for round robin */
-	/* Moving averages over all its engines; 0 is unknown. */
+	unsigned int next; /* round-robin position */
+	/* Moving averages over all its engines, in ms; 0: unknown. */
 	double first_token;
 	double token_ms;
 };
@@ -99,12 +99,12 @@
 enum reservation_state {
 	RESERVATION_QUEUED,
 	RESERVATION_GRANTED,
-	RESERVATION_FOUND /* running, granted by another owner */
+	RESERVATION_FOUND /* running; granted by a previous owner */
 };
 
-/* One request as an engine's owner knows it. */
+/* A request at the owner of an engine, queued or running. */
 struct reservation {
-	RB_ENTRY(reservation) entry; /* in the engine's tree */
+	RB_ENTRY(reservation) entry; /* in owned.tree, by node and id */
 	RB_ENTRY(reservation) queue_entry;
 	name_id node;
 	uint64_t incarnation;
@@ -116,26 +116,26 @@
 	bool keep; /* never refused or evicted */
 	name_id organisation;
 	unsigned int prompt; /* tokens */
-	unsigned int cost;   /* expected tokens */
-	msec start_by;	     /* MSEC_NEVER */
-	msec seen;	     /* last sent or renewed */
-	msec queued;	     /* when it came */
+	unsigned int cost;   /* expected answer tokens */
+	msec start_by;	     /* latest useful start; MSEC_NEVER: none */
+	msec seen;	     /* last received or renewed */
+	msec queued;	     /* when it was received */
 	msec granted;
-	bool has_first; /* its first token has been learned from */
-	bool tells;	/* the entry node reports first tokens */
+	bool has_first; /* its first token is in the statistics */
+	bool tells;	/* its entry node reports first tokens */
 	uint64_t seq;
 	struct org_queue *org;
 };
 RB_HEAD(reservation_tree, reservation);
 RB_HEAD(queue_tree, reservation);
 
-/* The waiting reservations of one organisation in one class. */
+/* Queued reservations of one organisation in one class. */
 struct org_queue {
 	TAILQ_ENTRY(org_queue) entry;
 	name_id id;
 	unsigned int weight;
 	unsigned int count;
-	double served; /* virtual time: cost over weight */
+	double served; /* virtual time: cost divided by weight */
 	struct queue_tree tree;
 };
 
@@ -144,12 +144,12 @@
 	unsigned int count;
 	unsigned int tier;
 	bool is_protected;
-	unsigned int late_turn;
+	unsigned int late_turn; /* grants since the last late one */
 	unsigned int floor_permille;
-	double served;	/* virtual time of the last one granted */
-	double credit;	/* cost owed to the class's floor */
-	double cost;	/* of its dearest requests lately */
-	double granted; /* cost, forgotten over some seconds */
+	double served;	/* virtual time of the last grant */
+	double credit;	/* cost due to the class for its floor share */
+	double cost;	/* decaying maximum of its requests' cost */
+	double granted; /* cost granted, decaying over some seconds */
 	msec granted_at;
 };
 
@@ -162,40 +162,41 @@
 void queue_init(struct queue *);
 void queue_insert(struct queue *, struct service *, struct reservation *);
 void queue_remove(struct queue *, struct reservation *);
-/* The next of one class, or NULL. */
+/* The next reservation of a class, or NULL. */
 struct reservation *queue_head(struct queue *, unsigned int, msec);
-/* The reservation to grant next, but for classes to skip; it stays in. */
+/* Returns the reservation to grant next, ignoring the classes to skip. */
 struct reservation *
 queue_next(struct queue *, const bool[DOCUMENT_CLASSES_MAX], msec);
-/* It has been granted: account for it and take it out. */
+/* Accounts for a granted reservation and removes it from the queue. */
 void queue_grant(struct queue *, struct reservation *, msec);
-/* What to evict for a reservation of this tier, or NULL. */
+/* The reservation to evict for one of this tier, or NULL. */
 struct reservation *queue_victim(struct queue *, unsigned int);
-/* Cost queued that goes before a new reservation of this tier. */
+/* Queued cost, in tokens, that is granted before this reservation. */
 double queue_ahead(struct queue *, const struct reservation *);
-/* Of so much cost a millisecond, what is left for a reservation's class. */
+/* The part of the engine's rate, in tokens per ms, left for its class. */
 double queue_rate(
     struct queue *, struct service *, const struct reservation *, double, msec);
 
-/* ---- learned slots of one engine ---- */
+/* ---- adaptive slot limit of one engine ---- */
 
 struct slots {
 	double limit;
 	bool slow_start;
-	msec decreased; /* last */
-	double best;	/* limit that went well, slowly forgotten */
-	unsigned int done;
+	msec decreased; /* time of the last decrease */
+	double best;	/* slowly decaying maximum of limits that met targets */
+	unsigned int done; /* good samples in this epoch */
 	unsigned int class_bad[DOCUMENT_CLASSES_MAX];
-	/* Lower quartile of first token by prompt token; 0 is unknown. */
+	/* Lower quartile of the first-token time in ms per prompt token; 0:
+	 * unknown. */
 	double first_work[DOCUMENT_CLASSES_MAX];
-	/* Moving averages. */
+	/* Moving averages in ms and tokens; 0: unknown. */
 	double first_token;
 	double token_ms;
 	double request_ms;
 	double request_cost;
 };
 
-/* What an owner learns from one finished request. */
+/* Timings of one request, in ms. */
 struct slots_sample {
 	const struct class *class;
 	unsigned int class_index;
@@ -208,27 +209,28 @@
 
 void slots_init(struct slots *, unsigned int, msec);
 unsigned int slots_limit(const struct slots *);
-/* Its first token has come; the engine was full or not. */
+/* Records a first token; the flag is true if the engine was full. */
 void slots_first(struct slots *, msec, const struct slots_sample *, bool);
-/* True if it should have had its first token by now. */
+/* Whether a first token is late, by class, prompt tokens and ms waited. */
 bool slots_overdue(const struct slots *, unsigned int, unsigned int, msec);
-/* Of so many running, these have waited too long for a first token. */
-void slots_stalled(struct slots *, msec, unsigned int, unsigned int);
+/* Of `running` requests, `stalled` are overdue for a first token. */
+void
+slots_stalled(struct slots *, msec, unsigned int running, unsigned int stalled);
 void slots_done(struct slots *, msec, const struct slots_sample *, bool);
 void slots_failed(struct slots *, msec);
 
 /* ---- engines ---- */
 
-/* What only the owner of an engine keeps. */
+/* State that only the owner of an engine has. */
 struct owned {
-	struct timer wake; /* first, so that a timer leads here */
+	struct timer wake; /* first: its callback casts it to struct owned */
 	struct engine *engine;
 	struct reservation_tree tree;
 	struct queue queue;
 	struct slots slots;
 	unsigned int running;
-	msec hold_until; /* no grants before: counts are being rebuilt */
-	msec rebuild_until;
+	msec hold_until;    /* no grants before: entry nodes report what runs */
+	msec rebuild_until; /* adopts the previous owner's limit until then */
 	unsigned int failures;
 	msec failed_until;
 };
@@ -238,34 +240,35 @@
 	name_id id;
 	name_id domain;
 	bool leaving;
-	bool gone; /* off the list, kept for what still runs */
+	bool gone; /* not in the engine list; kept while requests run */
 	unsigned int slots_hint;
 	struct service *service;
-	name_id owner; /* 0: no node */
+	name_id owner; /* 0: none */
 	struct owned *own;
-	/* As an entry node sees it. */
+	/* State at an entry node. */
 	TAILQ_HEAD(, dispatch_request_state) running;
 	unsigned int nrunning;
-	unsigned int slots; /* from the last grant; 0 */
-	double token_ms;    /* 0 is unknown */
-	double first_work;  /* first token by prompt token; 0 is unknown */
+	unsigned int slots; /* from the last grant; 0: unknown */
+	double token_ms;    /* 0: unknown */
+	double first_work;  /* first token, ms per prompt token; 0: unknown */
 	unsigned int failures;
 	msec failed_until;
-	/* The engine's own report, late. */
+	/* From the engine's last load report. */
 	unsigned int load_running;
 	unsigned int load_waiting;
-	bool listed; /* while a new list is read */
+	bool listed; /* in the new list, while that is read */
 };
 
 /* ---- requests of this entry node ---- */
 
+/* A reservation that a request has open with one owner. */
 struct leg {
 	struct engine *engine;
 	name_id owner;
 	msec sent;
-	msec again; /* send again at */
-	msec heard; /* last answer; 0 */
-	unsigned int tries;
+	msec again;	    /* when to send it again */
+	msec heard;	    /* last reply; 0: none */
+	unsigned int tries; /* times sent */
 };
 
 enum request_phase {
@@ -274,7 +277,7 @@
 };
 
 struct dispatch_request_state {
-	struct timer timer; /* first, so that a timer leads here */
+	struct timer timer; /* first: its callback casts it to this struct */
 	TAILQ_ENTRY(dispatch_request_state) entry; /* waiting or running */
 	struct dispatch_request *request;
 	struct service *service;
@@ -283,47 +286,48 @@
 	bool keep; /* never refused for load: protected, or resumed */
 	struct leg legs[LEGS_MAX];
 	unsigned int nlegs;
-	unsigned int want; /* legs to have */
+	unsigned int want; /* legs to keep open */
 	name_id tried[TRIED_MAX];
 	unsigned int ntried;
 	unsigned int refusals;
-	enum dispatch_refusal why; /* of the last owner's no */
+	enum dispatch_refusal why; /* reason of the last refusal */
 	msec retry_after;
 	msec start_by;
 	msec widen_at;
-	msec retry_at; /* when no leg stands */
-	unsigned int widened;
-	struct engine *engine; /* granted on */
+	msec retry_at; /* next round if no leg is open; else MSEC_NEVER */
+	unsigned int widened;  /* times that legs were added */
+	struct engine *engine; /* that granted it */
 	msec granted;
-	msec first_token; /* after the grant; -1 */
+	msec first_token; /* ms after the grant; -1: none */
 };
 TAILQ_HEAD(request_list, dispatch_request_state);
 
 /* ---- policies ---- */
 
-/* How an engine is found for a request. */
+/* How an engine is chosen for a request. */
 struct policy {
 	const char *name;
-	/* Find one now or queue; may refuse or grant. */
+	/* Chooses an engine or queues; may grant or refuse at once. */
 	void (*submit)(
 	    struct dispatch *, msec, struct dispatch_request_state *);
-	/* Whether engines have owners and nodes talk. */
+	/* Whether engines have owners and nodes exchange messages. */
 	bool owners;
 };
 
 const struct policy *policy_find(const char *);
 
-/* ---- the whole ---- */
+/* ---- common state ---- */
 
-/* What is known of a node that sends us reservations. */
+/* A node that may own engines or send reservations. */
 struct peer {
 	name_id id;
 	uint64_t incarnation;
 	name_id domain;
 	bool takes_work;
-	bool listed; /* while a new set is read */
+	bool listed; /* in the new set, while that is read */
 };
 
+/* A message from the local node to itself. */
 struct local_msg {
 	STAILQ_ENTRY(local_msg) entry;
 	sp_msg msg;
@@ -334,7 +338,7 @@
 	name_id self;
 	uint64_t incarnation;
 	name_id domain;
-	bool left;
+	bool left; /* dispatch_leave() was called */
 	GRand *rand;
 	GHashTable *peers;    /* name_id to struct peer */
 	GHashTable *engines;  /* name_id to struct engine */
@@ -347,26 +351,29 @@
 	uint64_t timer_seq;
 	struct timer running_timer;
 	struct timer sweep_timer;
-	STAILQ_HEAD(, local_msg) local; /* messages to ourselves */
-	unsigned int depth;		/* public calls on the stack */
+	STAILQ_HEAD(, local_msg) local; /* messages to the local node */
+	unsigned int depth;		/* nested dispatch_enter() calls */
 	bool tells_first;		/* dispatch_first_token() is used */
 };
 
-/* Every public call is between these; the last out delivers to ourselves. */
+/*
+ * Public functions run between these two. The outermost dispatch_exit()
+ * delivers the messages to the local node.
+ */
 void dispatch_enter(struct dispatch *);
 void dispatch_exit(struct dispatch *, msec);
-/* An engine to reserve on that was not tried, or NULL. */
+/* Chooses an engine that the request has not tried, or NULL. */
 struct engine *
 choose_engine(struct dispatch *, msec, struct dispatch_request_state *);
 void choose_not_again(struct dispatch_request_state *, name_id);
-/* Learn from a request that has ended. */
+/* Updates the statistics from a request that has ended. */
 void choose_learn(
     msec, struct dispatch_request_state *, const struct dispatch_result *);
 
-/* Send to a node, or queue for ourselves. */
+/* Sends to a node, or queues a message to the local node. */
 void dispatch_post(struct dispatch *, name_id, const sp_msg *);
 struct engine *engine_find(struct dispatch *, name_id);
-/* Free it if it is off the list and nothing runs on it. */
+/* Frees an engine that is not listed and runs nothing. */
 void engine_forget(struct dispatch *, struct engine *);
 
 void entry_submit(struct dispatch *, msec, struct dispatch_request_state *);
@@ -381,7 +388,7 @@
 void entry_on_refuse(struct dispatch *, msec, name_id, const sp_refuse *);
 void entry_on_queued(struct dispatch *, msec, name_id, const sp_queued *);
 void entry_on_preempt(struct dispatch *, msec, name_id, const sp_preempt *);
-/* An engine went, or its owner changed. */
+/* An engine was removed or is leaving, or its owner changed. */
 void entry_engine_gone(struct dispatch *, msec, struct engine *);
 void entry_owner_changed(struct dispatch *, msec, struct engine *, name_id);
 void entry_report_running(struct dispatch *, msec, struct engine *);
--- a/dispatch-queue.c
+++ b/dispatch-queue.c
@@ -1,7 +1,7 @@
 /*
- * The queue of one engine: strict tiers, but for a floor share of each class;
- * inside a class fair between organisations; inside an organisation by the
- * time until which a start is useful.
+ * The queue of one engine: strict priority by tier except for a minimum (floor)
+ * share of each class; within a class, weighted fair queueing between
+ * organisations; within an organisation, earliest start limit first.
  */
 
 #define LOG_PART "dispatch"
@@ -9,15 +9,15 @@
 
 #include <math.h>
 
-/* A class may save up floor credit for so many of its requests. */
+/* Maximum floor credit of a class, in requests. */
 #define CREDIT_MAX 3
-/* Over how many ms grants are forgotten. */
+/* Time constant in ms by which granted cost decays. */
 #define FORGET 10000.0
-/* Least part of an engine, in permille, that a class is expected to get. */
+/* Minimum part of an engine that a class is expected to get, in permille. */
 #define LEFT_LEAST 20
-/* One turn for late ones after so many for those on time. */
+/* Grants to requests on time before one to a late request. */
 #define LATE_EVERY 4
-/* What it got beyond its floor counts for so many of its next requests. */
+/* Maximum debt of a class that got more than its floor, in requests. */
 #define CREDIT_DEBT 4
 
 static int queue_compare(struct reservation *, struct reservation *);
@@ -64,7 +64,7 @@
 	oq = g_new0(struct org_queue, 1);
 	oq->id = id;
 	oq->weight = service_weight(s, id);
-	/* Starts level with the others: no credit for having been idle. */
+	/* Starts at the current virtual time: no credit for idle time. */
 	oq->served = cq->served;
 	RB_INIT(&oq->tree);
 	TAILQ_INSERT_TAIL(&cq->orgs, oq, entry);
@@ -76,7 +76,7 @@
 {
 	struct class_queue *cq = &q->classes[res->class_index];
 
-	/* One that did not wait is owed nothing. */
+	/* A class with nothing queued keeps no credit. */
 	if (cq->count == 0)
 		cq->credit = MIN(0, cq->credit);
 	cq->tier = res->tier;
@@ -107,7 +107,7 @@
 	g_free(oq);
 }
 
-/* The first of the organisation that is still on time, or NULL. */
+/* The first reservation that can still start in time, or NULL. */
 static struct reservation *
 org_on_time(struct org_queue *oq, msec now)
 {
@@ -123,9 +123,9 @@
 }
 
 /*
- * Guards against a burst in which all miss their target: by deadline alone,
- * those that are late anyway would go before those that can still be in time,
- * which are late then too. Late ones get every few turns, so that they end.
+ * Requests that can still start in time go before late ones: by start limit
+ * alone, late requests would go first in a burst and delay the others until all
+ * miss their targets. A late one goes after LATE_EVERY others, so that it runs.
  */
 static struct reservation *
 class_head(struct class_queue *cq, msec now)
@@ -183,10 +183,9 @@
 }
 
 /*
- * Guards against starvation: under strict tiers alone, a lower class would
- * wait for as long as higher ones fill the engine. Every grant pays each
- * waiting class its floor share of the cost; a class that has been paid for
- * its next request goes first, whatever its tier.
+ * Every grant credits each waiting class with its floor share of the cost. A
+ * class with credit for its next request goes first in any tier, so that higher
+ * tiers that fill the engine do not starve it.
  */
 void
 queue_grant(struct queue *q, struct reservation *res, msec now)
@@ -247,7 +246,7 @@
 	return cq->granted * exp(-(double)(now - cq->granted_at) / FORGET);
 }
 
-/* What higher tiers have taken lately is taken off, down to the floor. */
+/* Subtracts what higher tiers have used recently, down to the floor share. */
 double
 queue_rate(struct queue *q, struct service *s, const struct reservation *res,
     double rate, msec now)
--- a/dispatch-slots.c
+++ b/dispatch-slots.c
@@ -1,9 +1,9 @@
 /*
- * Learned slots of one engine: how many requests to run on it at once, from
- * what its requests see against the targets of their classes. Additive
- * increase while the engine is full and targets are met, doubling at the
- * start; multiplicative decrease when they are missed; and down to what the
- * engine really runs when requests wait inside it.
+ * Adaptive slot limit of one engine: how many requests run on it at once, from
+ * their latency compared with the targets of their classes. Additive increase
+ * while the engine is full and targets are met, doubling at the start;
+ * multiplicative decrease when targets are missed; reduced to the number that
+ * the engine really runs when requests wait inside it.
  */
 
 #define LOG_PART "dispatch"
@@ -11,30 +11,33 @@
 
 #define SLOTS_START 4
 #define SLOTS_MAX 1024
-/* An epoch ends after so many requests, or as many as there are slots. */
+/* Minimum good samples in an epoch; one per slot if there are more slots. */
 #define EPOCH_LEAST 4
-/* A class is missing its target when so many of its requests in an epoch do. */
+/* Samples of a class in an epoch that must miss targets before a decrease:
+ * part of the limit, and minimum. */
 #define BAD_PART 0.15
 #define BAD_LEAST 2
 /* Part of the first-token target that the engine itself may use. */
 #define FIRST_TOKEN_SHARE 0.6
 #define DECREASE 0.9
-/* Added for each time that as many requests as slots went well. */
+/* Slots added per `limit` good samples: usually, and while recovering below
+ * RECOVER_BELOW of the best limit. */
 #define INCREASE 0.5
 #define INCREASE_RECOVER 2
 #define RECOVER_BELOW 0.8
 #define BEST_FORGET 0.999
 /*
- * A first token that takes this multiple of what its prompt usually takes in
- * its class (a prompt may be cached or not), and so many steps of the batch
- * beside, has waited inside the engine.
+ * A request has waited inside the engine if its first token takes longer than
+ * this multiple of the usual time for its prompt and class (prompts may be
+ * cached or not), plus these batch steps and ms.
  */
 #define QUEUED_RISE 3
 #define QUEUED_STEPS 6
 #define QUEUED_SLACK 50
-/* How far a sample moves the quartile of first tokens. */
+/* Relative change of the first-token quartile per sample. */
 #define QUARTILE_STEP 0.005
-/* One request may be slow for a reason of its own. */
+/* Minimum part of the running requests that must be overdue; single requests
+ * may be slow for other reasons. */
 #define STALLED_PART 0.06
 
 static double sample_token_ms(const struct slots_sample *);
@@ -78,7 +81,7 @@
 	return prompt + PROMPT_BASE;
 }
 
-/* When a first token that was not held up should have come at the latest. */
+/* Maximum first-token time in ms of a request that did not wait. */
 static double
 first_token_bound(
     const struct slots *s, unsigned int class_index, unsigned int prompt)
@@ -87,7 +90,7 @@
 	       s->token_ms * QUEUED_STEPS + QUEUED_SLACK;
 }
 
-/* Moves to where a quarter of the samples lies below. */
+/* Estimates the lower quartile: three times as large steps down as up. */
 static void
 first_learn(double *quartile, double v)
 {
@@ -110,7 +113,8 @@
 	    MAX(1, one->first_token) / prompt_work(one->prompt));
 	if (target > 0 && one->first_token > target * FIRST_TOKEN_SHARE)
 		return true;
-	/* Plain services answer in no predictable time. */
+	/* Plain services, which have no token rate, have no predictable time.
+	 */
 	return s->token_ms > 0 && one->first_token > bound;
 }
 
@@ -146,7 +150,7 @@
 {
 	unsigned int least;
 
-	/* What was granted before the last decrease says nothing of it. */
+	/* Granted before the last decrease: not a result of the new limit. */
 	if (one->granted < s->decreased)
 		return;
 	least = MAX(BAD_LEAST, (unsigned int)(s->limit * BAD_PART));
@@ -155,9 +159,9 @@
 }
 
 /*
- * Only a full engine says that more might go. Far below what it did well not
- * long ago, the slots rise quickly: something passing had held it up, such as
- * a second owner.
+ * Increases the limit only if the engine was full. Far below a recent good
+ * limit it rises faster, as the cause of the decrease was probably temporary,
+ * such as a second owner.
  */
 static void
 slots_good(struct slots *s, bool full)
@@ -196,10 +200,9 @@
 }
 
 /*
- * Guards against a queue inside the engine: there a request is bound to this
- * engine and, behind higher priorities, may wait without an end. It shows as
- * requests without a first token long after the grant; the others are what the
- * engine can take at once.
+ * Reduces the limit to the requests that are not stalled. Stalled requests,
+ * without a first token long after the grant, queue inside the engine, where
+ * they cannot move to another engine and may starve behind higher priorities.
  */
 void
 slots_stalled(
@@ -208,10 +211,10 @@
 	if (stalled == 0 || stalled < running * STALLED_PART)
 		return;
 	/*
-	 * Without others there is nothing to learn from: the engine is held up
-	 * as a whole. Taken for an engine of one slot, it was full with one
-	 * stream whose caller reads slowly, and all others were refused while
-	 * that lasted, as slots rise only by first tokens.
+	 * If all are stalled, the whole engine is blocked and shows no limit. A
+	 * decrease to one slot would let one stream with a slow caller fill
+	 * the engine and all others be refused meanwhile, as the limit rises
+	 * only with first tokens.
 	 */
 	if (stalled >= running)
 		return;
@@ -220,7 +223,7 @@
 	slots_decrease(s, now, running - stalled);
 }
 
-/* The whole answer; its first token has been learned from before. */
+/* Records a whole answer; slots_first() has recorded its first token. */
 void
 slots_done(struct slots *s, msec now, const struct slots_sample *one, bool full)
 {
@@ -234,7 +237,7 @@
 		slots_bad(s, now, one);
 }
 
-/* A failure says nothing of the batch size, but to go on with care. */
+/* A failure does not show the right limit; decrease it as a precaution. */
 void
 slots_failed(struct slots *s, msec now)
 {
--- a/dispatch-timer.c
+++ b/dispatch-timer.c
@@ -1,5 +1,5 @@
 /*
- * Timers of the dispatch core: a tree by the time when they are due.
+ * Timers of dispatch, in a tree ordered by due time.
  */
 
 #define LOG_PART "dispatch"
--- a/dispatch.c
+++ b/dispatch.c
@@ -1,6 +1,6 @@
 /*
- * The dispatch core as a whole: nodes, engines, documents, and the way of
- * messages to the entry's and the owner's side; see dispatch.h.
+ * Nodes, engines and documents of dispatch, and the routing of messages to its
+ * two sides: dispatch-entry.c and dispatch-owner.c. See dispatch.h.
  */
 
 #define LOG_PART "dispatch"
@@ -43,7 +43,7 @@
 	return peer;
 }
 
-/* Rendezvous hashing: the node with the greatest score for it owns it. */
+/* Rendezvous hashing: the node with the highest score owns the engine. */
 static uint64_t
 owner_score(name_id engine, name_id node)
 {
@@ -56,7 +56,7 @@
 	return x ^ (x >> 31);
 }
 
-/* Among nodes that take work, those of the engine's failure domain first. */
+/* Prefers nodes that take work, and among them the engine's failure domain. */
 static name_id
 owner_choose(struct dispatch *d, const struct engine *e)
 {
@@ -111,7 +111,7 @@
 	}
 }
 
-/* A restarted owner has forgotten what waits and runs. */
+/* A restarted owner has lost its queues: sends it everything again. */
 static void
 node_restarted(struct dispatch *d, msec now, name_id id)
 {
@@ -227,7 +227,7 @@
 	return w == 0 ? 1 : w;
 }
 
-/* What was learned of a class stays with its name. */
+/* Keeps the length statistics of a class of the same name. */
 static void
 class_inherit(struct class *c, const struct class *old)
 {
@@ -440,8 +440,8 @@
 /* ---- messages ---- */
 
 /*
- * Messages to ourselves wait until the public call ends: handling them in the
- * middle of one would change lists that are being walked.
+ * Messages to the local node wait until the public call ends, because handling
+ * them earlier could change lists that are being iterated.
  */
 void
 dispatch_post(struct dispatch *d, name_id to, const sp_msg *m)
@@ -517,8 +517,8 @@
 }
 
 /*
- * Guards against messages of a dead incarnation that were under way when its
- * node restarted: their ids mean other requests now. They are ignored.
+ * Ignores messages that a previous incarnation of a node sent before it
+ * restarted: their ids now belong to other requests.
  */
 void
 dispatch_receive(struct dispatch *d, msec now, name_id from,
@@ -548,7 +548,7 @@
 	return timers_next(d);
 }
 
-/* ---- the whole ---- */
+/* ---- start and end ---- */
 
 bool
 dispatch_init(struct dispatch *d, const struct dispatch_ops *ops,
@@ -592,7 +592,7 @@
 	return true;
 }
 
-/* Whatever still waits or runs is forgotten without a word. */
+/* Frees requests that still wait or run; sends and reports nothing. */
 void
 dispatch_finish(struct dispatch *d)
 {
--- a/dispatch.h
+++ b/dispatch.h
@@ -1,8 +1,9 @@
 /*
- * Dispatch: which request runs when, on which engine. Every engine has one
- * owner among the entry VMs, which queues reservations and grants slots; an
- * entry node reserves with the owners of a few candidate engines and runs on
- * the first that grants. A core without input or output.
+ * Dispatch: decides which engine runs each request, and when. Every engine is
+ * owned by one entry VM, which queues reservations and grants slots. An entry
+ * node sends reservations to the owners of a few candidate engines and runs the
+ * request on the first engine granted. Performs no I/O itself: messages and
+ * decisions go out through struct dispatch_ops.
  */
 
 #ifndef DISPATCH_H
@@ -16,12 +17,12 @@
 struct dispatch;
 struct dispatch_request;
 
-/* Why a request will not run. */
+/* Why a request was refused. */
 enum dispatch_refusal {
-	DISPATCH_QUEUE_FULL, /* bounded queues are full */
-	DISPATCH_EVICTED,    /* made room for a higher tier */
-	DISPATCH_HOPELESS,   /* would miss its deadline anyway */
-	DISPATCH_NO_ENGINE,  /* none there for the service */
+	DISPATCH_QUEUE_FULL, /* the queues of the engines are full */
+	DISPATCH_EVICTED,    /* displaced by a higher tier */
+	DISPATCH_HOPELESS,   /* would miss its target or deadline */
+	DISPATCH_NO_ENGINE,  /* the service has no engine */
 	DISPATCH_LIMITED     /* the organisation is over its limit */
 };
 
@@ -36,31 +37,32 @@
 	unsigned int class_index;
 	uint64_t document_version;
 	name_id organisation;
-	uint64_t prefix; /* hash of the prompt's start; 0 */
+	uint64_t prefix; /* hash of the prompt's start; 0: none */
 	unsigned int prompt_tokens;
-	unsigned int max_tokens; /* 0 is unknown */
+	unsigned int max_tokens; /* 0: unknown */
 	msec arrived;
-	msec deadline; /* a point; MSEC_NEVER */
-	name_id avoid; /* engine not to use; 0 */
-	bool resumed;  /* its stream has begun: not refused for load */
+	msec deadline; /* point in time; MSEC_NEVER: none */
+	name_id avoid; /* engine not to use; 0: none */
+	bool resumed;  /* continues a stream: not refused for load */
 	void *arg;
 	/* Read by the caller. */
 	unsigned int id;
-	name_id engine; /* granted; else 0 */
+	name_id engine; /* engine granted; 0: none */
 	/* Private to dispatch from here. */
 	struct dispatch_request_state *priv;
 };
 
-/* What the core calls; all must be given. */
+/* Callbacks; all must be set. */
 struct dispatch_ops {
-	/* Send to a node; may be dropped. Must not call back. */
+	/* Sends a message to a node; delivery is not guaranteed. Must not
+	 * call dispatch functions. */
 	void (*send)(struct dispatch *, name_id, const sp_msg *);
-	/* Run it now on r->engine. */
+	/* Starts the request on r->engine. */
 	void (*granted)(struct dispatch *, struct dispatch_request *);
-	/* It will not run; with ms after which to come back, or 0. */
+	/* Reports a refusal, with a retry delay in ms or 0. */
 	void (*refused)(struct dispatch *, struct dispatch_request *,
 	    enum dispatch_refusal, msec);
-	/* Stop this running stream; it is resumable and of a lower tier. */
+	/* Asks to stop this running stream for a higher tier. */
 	void (*preempt)(struct dispatch *, struct dispatch_request *);
 };
 
@@ -70,10 +72,10 @@
 	name_id service;
 	name_id domain;
 	bool leaving;		 /* gets no new work */
-	unsigned int slots_hint; /* from traits; 0 */
+	unsigned int slots_hint; /* slots configured; 0: unknown */
 };
 
-/* A node as the membership has it, ourselves too. */
+/* A node of the membership list, which includes the local node. */
 struct dispatch_node {
 	name_id id;
 	uint64_t incarnation;
@@ -84,16 +86,16 @@
 /* How a request ended on its engine. */
 struct dispatch_result {
 	enum {
-		DISPATCH_OK,		/* the whole answer came */
-		DISPATCH_ENGINE_FAILED, /* refused, crashed, broke */
-		DISPATCH_CALLER_LEFT	/* or was cancelled */
+		DISPATCH_OK,		/* the whole answer was received */
+		DISPATCH_ENGINE_FAILED, /* refused, crashed or broke off */
+		DISPATCH_CALLER_LEFT	/* caller disconnected or cancelled */
 	} how;
-	msec first_token; /* after the grant; -1 if none */
-	msec stream;	  /* first to last token */
+	msec first_token; /* ms after the grant; -1: none */
+	msec stream;	  /* ms from first to last token */
 	unsigned int tokens;
 };
 
-/* What a node knows of itself; copied by dispatch_init(). */
+/* The local node's identity and policy; copied by dispatch_init(). */
 struct dispatch_config {
 	name_id self;
 	uint64_t incarnation;
@@ -103,7 +105,7 @@
 	uint32_t seed;
 };
 
-/* Counters; all only grow. */
+/* Monotonic counters. */
 struct dispatch_counters {
 	uint64_t submitted, granted, refused, cancelled;
 	uint64_t evicted, hopeless, limited, widened;
@@ -112,54 +114,55 @@
 };
 
 /*
- * The core's state; one per node, in the embedder's memory. Owners are found
- * by rendezvous hashing (Thaler and Ravishankar, 1998).
+ * Dispatch state of one node; the caller allocates it. Owners are chosen by
+ * rendezvous hashing (Thaler and Ravishankar, 1998).
  */
 struct dispatch {
 	const struct dispatch_ops *ops;
 	struct dispatch_counters counters;
 	struct dispatch_data *priv;
-	void *arg; /* the embedder's */
+	void *arg; /* for the callbacks */
 };
 
-/* Start at a point in time; false when the policy is unknown. */
+/* Returns false when the policy name is unknown. */
 bool dispatch_init(struct dispatch *, const struct dispatch_ops *,
     const struct dispatch_config *, msec);
 void dispatch_finish(struct dispatch *);
 
-/* The whole set of nodes, ourselves among them. */
+/* Replaces the set of nodes, which includes the local node. */
 void dispatch_set_nodes(
     struct dispatch *, msec, const struct dispatch_node *, unsigned int);
-/* The whole set of engines, of all services. */
+/* Replaces the set of engines of all services. */
 void dispatch_set_engines(
     struct dispatch *, msec, const struct dispatch_engine *, unsigned int);
-/* The document in force for its service; copied. */
+/* Applies the classes and organisation weights of a service; copies them. */
 void dispatch_set_document(struct dispatch *, msec, const struct document *);
-/* A lagging load report of an engine: running and waiting requests. */
+/* Load report of an engine, possibly outdated: running and waiting requests. */
 void
 dispatch_set_load(struct dispatch *, msec, name_id, unsigned int, unsigned int);
 
-/* Ask for a slot. granted() or refused() may be called before it returns. */
+/* Requests a slot. May call ops->granted() or ops->refused() before returning.
+ */
 void dispatch_submit(struct dispatch *, msec, struct dispatch_request *);
-/* No longer wanted, whether it waits or holds a slot that was not used. */
+/* Withdraws a request that waits, or that holds a slot it has not used. */
 void dispatch_cancel(struct dispatch *, msec, struct dispatch_request *);
 /*
- * The first token of a granted request has come. Not calling it is allowed,
- * but then owners learn only from whole answers.
+ * Reports the first token of a granted request. Optional: without it, owners
+ * learn only from complete answers.
  */
 void dispatch_first_token(struct dispatch *, msec, struct dispatch_request *);
-/* The granted request has ended on its engine. */
+/* Reports how a granted request ended on its engine. */
 void dispatch_done(struct dispatch *, msec, struct dispatch_request *,
     const struct dispatch_result *);
 
-/* An authenticated message from a node and its incarnation. */
+/* Handles an authenticated message from a node with this incarnation. */
 void
 dispatch_receive(struct dispatch *, msec, name_id, uint64_t, const sp_msg *);
-/* Do what is due; the time when it wants to be called next. */
+/* Runs timers that are due; returns when to call it next. */
 msec dispatch_tick(struct dispatch *, msec);
-/* Duties moved away: stop owning engines, for a planned stop. */
+/* Gives up ownership of all engines, before a planned stop. */
 void dispatch_leave(struct dispatch *, msec);
-/* The whole state as text into a string that the caller frees. */
+/* Returns the state as text; the caller frees it. */
 char *dispatch_dump(struct dispatch *, msec);
 
 #endif /* DISPATCH_H */
--- a/request.c
+++ b/request.c
@@ -95,9 +95,8 @@
 	if (r->state != REQUEST_QUEUED)
 		return;
 	/*
-	 * The state changes before a byte is handed over: were it changed
-	 * after, a crash of the order in between would let a request that
-	 * has run be answered "not run".
+	 * The state changes before any byte is sent. Otherwise a failure in
+	 * between could report "not run" for a request that has run.
 	 */
 	r->state = REQUEST_DISPATCHED;
 	r->attempt = ++r->attempts;
@@ -130,8 +129,8 @@
 }
 
 /*
- * Retries are a fraction of fresh work. Without the bound, engines that fail
- * under load get the load again from every entry node, and stay down.
+ * Limits retries to a fraction of new requests. Without the limit, engines that
+ * fail under load receive the load again from every entry node and stay down.
  */
 static bool
 request_retry_take(struct request_book *b)
@@ -149,12 +148,12 @@
 request_retry(struct request *r, msec now, enum request_code code)
 {
 	if (r->attempts >= REQUEST_ATTEMPTS_MAX) {
-		log_debug("attempts are used up");
+		log_debug("no retry: attempt limit reached");
 		request_fail(r, now, code, MSEC_SECOND);
 		return;
 	}
 	if (!request_retry_take(r->book)) {
-		log_debug("retry budget is used up");
+		log_debug("no retry: retry budget exhausted");
 		request_fail(r, now, code, MSEC_SECOND);
 		return;
 	}
@@ -163,7 +162,7 @@
 	r->book->ops->submit(r, now);
 }
 
-/* An attempt that may have executed broke off. */
+/* Handles the end of an attempt that may have executed. */
 static void
 request_broken(struct request *r, msec now)
 {
@@ -177,8 +176,8 @@
 	}
 	if (r->state == REQUEST_STREAMING && !r->resumable) {
 		/*
-		 * Part of the answer is out. Another run may word it
-		 * otherwise, so it ends visibly broken.
+		 * Part of the answer was sent, and another run may differ from
+		 * it, so the answer ends incomplete.
 		 */
 		request_fail(r, now, REQUEST_CODE_BROKEN, 0);
 		return;
@@ -192,7 +191,7 @@
     enum attempt_end how, unsigned int tokens)
 {
 	if (attempt != r->attempt || r->state == REQUEST_DONE) {
-		/* Given up on earlier; what it made is of no use. */
+		/* Abandoned earlier; its further tokens are wasted. */
 		r->book->late++;
 		if (tokens > r->tokens)
 			r->book->wasted_tokens += tokens - r->tokens;
@@ -234,7 +233,7 @@
 	r->book->ops->stop(r, now);
 }
 
-/* Wherever it stands, it ends now. */
+/* Ends the request in any state. */
 static void
 request_abandon(struct request *r, msec now, enum request_code code)
 {
--- a/retry-budget.c
+++ b/retry-budget.c
@@ -1,5 +1,5 @@
 /*
- * The share of the retry allowance; see retry-budget.h.
+ * This node's share of the retry budget; see retry-budget.h.
  */
 
 #define LOG_PART "retry"
@@ -7,9 +7,9 @@
 
 #include <string.h>
 
-/* Nodes that may come before we hear of them: their parts are left to them. */
+/* Factor by which the nodes may grow before this node is notified of it. */
 #define RETRY_NODES_MARGIN 2
-/* Part of the fraction that is used, percent. */
+/* Part of the fraction that a node uses, in percent. */
 #define RETRY_USED_PERCENT 80
 
 RB_GENERATE(retry_budgets, retry_budget, entry, retry_budget_compare)
@@ -26,7 +26,7 @@
 	*b = (struct retry_budget){ .service = service, .started = started };
 }
 
-/* Forget the slices that have left the window. */
+/* Clears the slices that have left the window; returns the current one. */
 static unsigned int
 budget_slide(
     struct retry_budget *b, const struct retry_budget_config *c, msec now)
--- a/route.c
+++ b/route.c
@@ -8,7 +8,7 @@
 #include <stdlib.h>
 #include <string.h>
 
-/* In force until an operator says otherwise. */
+/* Default limits. */
 #define ROUTE_HEAD_BYTES 16384
 #define ROUTE_BODY_BYTES (1024 * 1024)
 #define ROUTE_HEAD_TIMEOUT (5 * MSEC_SECOND)
@@ -75,7 +75,7 @@
 	return n == m ? 0 : n > m ? -1 : 1;
 }
 
-/* Keep a list of the priorities in use, each once, in order. */
+/* Inserts a priority into a sorted list without duplicates. */
 static void
 rank_add(struct route_table *t, unsigned int list, unsigned int priority)
 {
@@ -91,7 +91,7 @@
 	t->nranks[list]++;
 }
 
-/* Which in order a priority is; those not in use come last. */
+/* Index of a priority in its list; unlisted ones rank as the next listed. */
 static unsigned int
 rank_index(
     const struct route_table *t, unsigned int list, unsigned int priority)
@@ -114,7 +114,7 @@
 	if (o != NULL && o->has_priority)
 		own = rank_index(t, 1, o->priority);
 	rank = rank_index(t, 0, r->priority) * n + own;
-	/* More pairs than ranks: neighbours share one. */
+	/* With more pairs than ranks, neighbouring pairs share a rank. */
 	n *= t->nranks[0];
 	return n <= ROUTE_RANKS ? rank : rank * ROUTE_RANKS / n;
 }
