--- a/capacity.c
+++ b/capacity.c
@@ -1,5 +1,5 @@
 /*
- * How many servers; see capacity.h.
+ * Autoscaling of servers; see capacity.h.
  */
 
 #define LOG_PART "capacity"
@@ -8,43 +8,44 @@
 #include <math.h>
 #include <string.h>
 
-/* Prompt tokens that a server reads in a millisecond. */
+/* Prompt tokens that a server processes per ms. */
 #define CAPACITY_TOKENS_PER_MS 60.0
 /*
- * Servers are to read for so much of the time at the peak: streams beside a
- * prompt that is read miss their pauses.
+ * Target part of the time that servers process prompts at the peak: streams on
+ * a server miss their gap targets while it processes a prompt.
  */
 #define CAPACITY_READING_PERCENT 40.0
-/* Beyond that requests are late or turned away, whatever a server costs. */
+/* Maximum part; above it requests are late or refused, so servers of any price
+ * are ordered. */
 #define CAPACITY_ESSENTIAL_PERCENT 90.0
-/* Streams on one server at the peak. */
+/* Target number of streams per server at the peak. */
 #define CAPACITY_STREAMS 16.0
-/* A report counts for so long; without any nothing is taken away. */
+/* Time after which a report is ignored; without any, no scaling down. */
 #define CAPACITY_FRESH_MS 3000
-/* Servers that a holder finds have stopped coming and going for so long. */
+/* Time without new lasting servers after which a new holder's count is final.
+ */
 #define CAPACITY_SETTLE_MS 700
-/* Between two steps down, and the part of it that a step takes. */
+/* Steps down: interval, and part of the needed servers removed by each. */
 #define CAPACITY_STEP_MS 5000
 #define CAPACITY_STEP_PERCENT 20
+/* Steps from lasting to reclaimable servers under load: interval and part. */
 #define CAPACITY_MOVE_MS 2000
 #define CAPACITY_MOVE_PERCENT 25
-/* Servers that were ordered and are not there this long after their boot. */
+/* Time after the boot time before missing servers are ordered again. */
 #define CAPACITY_LATE_MS 2500
-/* After none were to be had. */
+/* Time without orders after none were available. */
 #define CAPACITY_REFUSED_MS 2500
-/* Between two orders for one place, also after one without an answer. */
+/* Minimum interval between orders of a kind in a domain. */
 #define CAPACITY_ORDER_MS 1000
 /*
- * Every node has to hear of each server that comes or goes, and what they
- * cannot be told they all read: so many words of it a second, to all nodes
- * together. No more servers change in a second than that, nor so many times as
- * many at once.
+ * Limits on server changes, as every node must be notified of each, and all
+ * nodes read the list again if that fails: notifications per second to all
+ * nodes together, changes per second, and burst as a multiple of that rate.
  */
 #define CAPACITY_HEARD_PER_S 2600.0
 #define CAPACITY_CHANGES_PER_S 40.0
 #define CAPACITY_CHANGES_AT_ONCE 1.5
-/* More tokens in a millisecond than all servers anywhere read: a wrong report.
- */
+/* Tokens per ms above which a report is implausible. */
 #define CAPACITY_RATE_MAX 1e6
 
 const struct capacity_limits capacity_defaults = { 5, 100, 0 };
@@ -52,7 +53,7 @@
 struct capacity_report {
 	msec at;
 	uint64_t tokens, urgent;
-	double rate, urgent_rate; /* in a ms */
+	double rate, urgent_rate; /* tokens per ms */
 	unsigned int running;
 };
 
@@ -213,8 +214,8 @@
 		urgent = (double)(m->urgent_tokens - r->urgent) / span;
 	}
 	if (rate > CAPACITY_RATE_MAX || urgent > rate) {
-		log_info("demand of %.0f tokens a ms for %s is dropped", rate,
-		    s->terms.name);
+		log_info("ignored implausible demand of %.0f tokens/ms for %s",
+		    rate, s->terms.name);
 		c->counters.dropped++;
 		rate = urgent = 0;
 	}
@@ -225,7 +226,7 @@
 		s->asked = now;
 }
 
-/* What all coordinators that were heard of lately say. */
+/* Sums the recent reports of all coordinators. */
 static void
 service_sum(struct capacity_service *s, msec now, double *rate, double *urgent,
     double *running)
@@ -257,7 +258,7 @@
 	return most;
 }
 
-/* Note what is asked now; the peaks of the last seconds remain. */
+/* Records the current demand and updates the peaks. */
 static void
 service_watch(struct capacity_service *s, msec now)
 {
@@ -280,7 +281,7 @@
 	s->running = peak_of(s->busy_peaks);
 }
 
-/* ---- deciding ---- */
+/* ---- decisions ---- */
 
 static unsigned int
 service_ready(const struct capacity_service *s, enum capacity_kind kind)
@@ -292,7 +293,7 @@
 	return n;
 }
 
-/* Ready, or on the way by an order that was taken. */
+/* Servers that are ready or expected from an accepted order. */
 static unsigned int
 place_coming(
     const struct capacity_service *s, const struct capacity_place *p, msec now)
@@ -314,7 +315,7 @@
 	return n;
 }
 
-/* So many times as many that one domain of them may go. */
+/* Factor on the servers needed that makes up for the loss of one domain. */
 static double
 service_spread(const struct capacity_service *s)
 {
@@ -323,7 +324,7 @@
 		   : 1.0;
 }
 
-/* Servers that read so many tokens in a ms, for so much of their time. */
+/* Servers needed to process prompts at this rate in this part of their time. */
 static double
 servers_for(double tokens_per_ms, double percent)
 {
@@ -356,7 +357,7 @@
 	return MAX((unsigned int)ceil(n), s->terms.least * s->terms.ndomains);
 }
 
-/* What the load takes to be served at all, of the dear kind if need be. */
+/* Minimum servers for the load, of the expensive kind if necessary. */
 static unsigned int
 service_essential(const struct capacity_service *s)
 {
@@ -367,9 +368,9 @@
 }
 
 /*
- * What stood there when we took over: as the holder before us had it, or the
- * servers that we find. Those of a fleet that has just started come to be known
- * one by one.
+ * Determines the servers present when this node became duty holder: the number
+ * that the previous holder recorded, or the servers that this node finds. The
+ * servers of a fleet that has just started become known one by one.
  */
 static void
 service_find(struct capacity_service *s, msec now)
@@ -388,7 +389,7 @@
 	    s->held != 0 ? s->held : s->found_reclaimable + s->found_lasting;
 }
 
-/* What stood there carried the load so far: it stays until peaks are known. */
+/* The servers found have carried the load: keeps them until peaks are known. */
 static void
 service_decide_needed(
     const struct capacity *c, struct capacity_service *s, msec now)
@@ -400,7 +401,7 @@
 
 	if (!known)
 		needed = MAX(MAX(needed, s->found), s->needed);
-	/* Up at once, down in small steps. */
+	/* Scale up at once, down in small steps. */
 	if (needed >= s->needed) {
 		s->needed = needed;
 		s->next_down = now + CAPACITY_STEP_MS;
@@ -413,8 +414,9 @@
 }
 
 /*
- * Share a number out over domains, each up to its room: evenly, the rest to
- * the first. Where none are to be had nothing new is wanted.
+ * Distributes a number of servers evenly over the domains, each up to its
+ * capacity, with the remainder in the first. A domain where none are available
+ * gets no new ones.
  */
 static void
 service_share_reclaimable(
@@ -449,14 +451,16 @@
 	}
 	for (i = 0; i < s->terms.ndomains; i++) {
 		p = &s->domains[i].kinds[kind];
-		/* What there is too little of goes nowhere. */
+		/* While there are too few, none are removed. */
 		if (service_ready(s, kind) < total)
 			p->want =
 			    MAX(p->want, MIN(place_coming(s, p, now), room[i]));
 	}
 }
 
-/* The domain to change next: the fewest servers, or the most; else the price.
+/*
+ * The domain in which to add or remove a server: the one with the fewest or
+ * most; of equals, the cheapest or most expensive.
  */
 static struct capacity_place *
 lasting_pick(struct capacity_service *s, bool more)
@@ -482,7 +486,7 @@
 	return best;
 }
 
-/* From what is there, with as few changes as may be. */
+/* Distributes lasting servers, starting from those that are ready. */
 static void
 service_share_lasting(struct capacity_service *s, unsigned int total)
 {
@@ -501,8 +505,9 @@
 }
 
 /*
- * Lasting servers go once the others are there, and by degrees under load; new
- * ones come for the most urgent, and when the load could not be served at all.
+ * Number of lasting servers. They are removed once reclaimable ones are ready,
+ * gradually under load. New ones are ordered for the most urgent requests, and
+ * if the load could not be served otherwise.
  */
 static unsigned int
 service_lasting(struct capacity *c, struct capacity_service *s, msec now)
@@ -582,7 +587,7 @@
 		c->counters.refused++;
 		break;
 	case CAPACITY_UNKNOWN:
-		/* It may come out late: what is wanted is ordered again. */
+		/* It may still be carried out: the target is ordered again. */
 		p->is_ordered = false;
 		c->counters.unanswered++;
 		break;
@@ -622,8 +627,8 @@
 	double rate;
 
 	/*
-	 * Guards against an order for a few more than are known so far, where
-	 * hundreds stand: a holder that has just started reads them one by one.
+	 * A holder that has just started reads the servers one by one. An order
+	 * based on an incomplete count could remove hundreds of servers.
 	 */
 	if (!c->holds || !c->knows_all)
 		return;
--- a/capacity.h
+++ b/capacity.h
@@ -1,19 +1,20 @@
 /*
- * How many servers of which kind a service has in each failure domain, ordered
- * by one node. Demand is what coordinators of placement count, so that a
- * decision needs no more messages than they and their number.
+ * Autoscaling: how many servers of each kind a service has in each failure
+ * domain. One node, the duty holder, decides and orders them. It learns the
+ * demand from reports of the placement coordinators, so that the number of
+ * messages grows only with the number of coordinators.
  *
- * Two kinds: lasting servers, and cheaper ones that the platform may take back,
- * all of a domain at once. The cheap ones carry the load and the spare for the
- * loss of one domain; a floor of lasting ones carries the most urgent requests
- * when all others go.
+ * There are two kinds: lasting servers, and cheaper reclaimable ones, which the
+ * platform may take back, all of a domain at once. Reclaimable servers carry
+ * the load, with a reserve for the loss of one domain; a minimum of lasting
+ * ones serves the most urgent requests if all reclaimable ones are lost.
  *
- * Up at once, since a server serves a while after its order; down only by what
- * the peak of a longer time leaves over. Without fresh knowledge what is there
- * stays. An order is the whole number wanted, so one that is repeated, late or
- * lost ends at the right one.
+ * Scaling up is immediate, because a new server takes time to boot. Scaling
+ * down follows the peak of the last CAPACITY_PEAK_S seconds. Without recent
+ * reports the number of servers is not reduced. An order contains the total
+ * number wanted, so that repeated, late or lost orders converge.
  *
- * A core without input or output.
+ * Performs no I/O itself: orders go out through struct capacity_ops.
  */
 
 #ifndef CAPACITY_H
@@ -22,51 +23,52 @@
 #include "proto.h"
 #include "savory.h"
 
-/* Beyond these, failure domains and services are left as they are. */
+/* Failure domains and services beyond these are not scaled. */
 #define CAPACITY_DOMAINS_MAX 16
 #define CAPACITY_SERVICES_MAX 16
-/* Seconds of which the peaks are remembered. */
+/* Seconds over which the peak demand is taken. */
 #define CAPACITY_PEAK_S 24
 
-/* Of a server, by what it costs and who may take it. */
+/* Kinds of servers: permanent, and cheaper ones that may be taken back. */
 enum capacity_kind {
 	CAPACITY_LASTING,
 	CAPACITY_RECLAIMABLE,
 	CAPACITY_KINDS
 };
 
-/* What the operators say of a service in a failure domain. */
+/* Configuration of a service in a failure domain. */
 struct capacity_domain_terms {
 	char name[NAME_SIZE];
-	double price; /* of a lasting server's second */
+	double price; /* of a lasting server, per second */
 };
 
-/* What they say of a service whose servers are ordered. */
+/* Configuration of a service that is scaled. */
 struct capacity_terms {
 	char name[NAME_SIZE];
-	unsigned int least, most; /* of both kinds, in each domain */
-	msec boot;		  /* from an order until it serves */
-	double
-	    reclaimable_price; /* part of a lasting one's; 0: none to be had */
+	unsigned int least, most; /* servers of both kinds, per domain */
+	msec boot;		  /* from the order until it is ready */
+	double reclaimable_price; /* relative to a lasting one's; 0: not
+				     available */
 	unsigned int ndomains;
 	struct capacity_domain_terms domains[CAPACITY_DOMAINS_MAX];
 };
 
-/* What the settings allow. */
+/* Limits from the settings. */
 struct capacity_limits {
-	unsigned int lasting_percent;	  /* of what is needed; the least */
-	unsigned int reclaimable_percent; /* of all, the most */
-	unsigned int spare_percent;	  /* for a burst */
+	unsigned int lasting_percent; /* minimum part of the servers needed */
+	unsigned int reclaimable_percent; /* part of the planned reclaimable
+					     servers that is ordered */
+	unsigned int spare_percent;	  /* added for bursts */
 };
 
 /* A service's servers of one kind in one domain. */
 struct capacity_place {
 	unsigned int ready;
-	unsigned int want, ordered; /* now; in the newest order that counts */
-	bool is_ordered;	    /* any order of ours was taken */
-	bool pending;		    /* an order without an answer yet */
+	unsigned int want, ordered; /* target now; in the last accepted order */
+	bool is_ordered;	    /* the last order was accepted */
+	bool pending;		    /* an order awaits its answer */
 	msec ordered_at;
-	msec refused_until; /* none were to be had */
+	msec refused_until; /* no orders before: none were available */
 };
 
 /* A service in one failure domain. */
@@ -74,25 +76,26 @@
 	struct capacity_place kinds[CAPACITY_KINDS];
 };
 
-/* One coordinator's counts. */
+/* Last demand report of one coordinator. */
 struct capacity_report;
 
-/* One service whose servers are ordered. */
+/* A service that is scaled. */
 struct capacity_service {
 	name_id id;
 	struct capacity_terms terms;
 	struct capacity_domain domains[CAPACITY_DOMAINS_MAX];
 	GHashTable *reports; /* node to struct capacity_report */
-	/* By second, tokens and requests; the newest at `second`. */
+	/* Per second: tokens per ms, and running requests; newest: `second`. */
 	double peaks[CAPACITY_PEAK_S], urgent_peaks[CAPACITY_PEAK_S];
 	double busy_peaks[CAPACITY_PEAK_S];
 	msec second;
-	msec asked;    /* when the first request was heard of; 0: none yet */
-	msec reported; /* the newest report */
-	/* What the newest decision went by. */
+	msec asked;    /* first report with requests; 0: none yet */
+	msec reported; /* time of the newest report */
+	/* Inputs and results of the last decision. */
 	double tokens_per_ms, urgent_part, running;
 	unsigned int needed, lasting, held;
-	/* Servers that stood there when we took over, in all and by kind. */
+	/* Servers present when this node became duty holder, in all and by
+	 * kind. */
 	unsigned int found, found_lasting, found_reclaimable;
 	msec found_at;
 	msec next_down, next_move;
@@ -100,67 +103,69 @@
 
 struct capacity;
 
-/* What the core calls; must be given. */
+/* Callbacks; must be set. */
 struct capacity_ops {
 	/*
-	 * Order so many of a kind for the service in the domain; then
-	 * capacity_ordered(), which it may call at once.
+	 * Orders a total number of servers of a kind in the domain. Calls
+	 * capacity_ordered() with the answer, possibly before it returns.
 	 */
 	void (*order)(struct capacity *, const struct capacity_service *,
 	    unsigned int domain, enum capacity_kind, unsigned int);
 };
 
-/* Counters; all only grow. */
+/* Monotonic counters. */
 struct capacity_counters {
 	uint64_t orders, repeats, taken, refused, unanswered;
-	uint64_t dropped; /* reports that cannot be right */
+	uint64_t dropped; /* reports for unknown services or implausible */
 };
 
-/* In the embedder's memory; acts only on the holder of the duty. */
+/* Autoscaler state; the caller allocates it. Active only on the duty holder. */
 struct capacity {
 	const struct capacity_ops *ops;
 	struct capacity_limits limits;
 	unsigned int nservices;
 	struct capacity_service *services;
-	bool holds, knows_all;
-	msec since;
-	unsigned int nodes; /* that hear of servers */
-	double changes;	    /* servers that may come or go now */
+	bool holds;	    /* this node is the duty holder */
+	bool knows_all;	    /* the ready servers are complete */
+	msec since;	    /* when `holds` was last set */
+	unsigned int nodes; /* nodes notified of each server change */
+	double changes;	    /* server changes allowed now */
 	msec ticked;
 	struct capacity_counters counters;
-	void *arg; /* the embedder's */
+	void *arg; /* for the callbacks */
 };
 
-/* The defaults of the settings. */
+/* Default limits. */
 extern const struct capacity_limits capacity_defaults;
 
-/* Without services; the end. */
+/* Initialise without services; free. */
 void capacity_init(struct capacity *, const struct capacity_ops *);
 void capacity_finish(struct capacity *);
-/* What operators say of all services whose servers are ordered. */
+/* Replaces the configuration of all services that are scaled. */
 void capacity_set_terms(
     struct capacity *, const struct capacity_terms *, unsigned int);
-/* We decide from now on, or do not any more. */
+/* Sets whether this node is the duty holder; resets the state. */
 void capacity_hold(struct capacity *, msec, bool);
 /*
- * Ready servers of a service, by domain and kind, as they are now. `all`: none
- * is left out; before that nothing is ordered.
+ * Replace the counts of ready servers: clear, then add each ready server.
+ * `all`: every server is known; without it nothing is ordered.
  */
 void capacity_clear_ready(struct capacity *, bool all);
 void capacity_add_ready(
     struct capacity *, name_id service, const char *domain, enum capacity_kind);
-/* A message of kind SP_DEMAND from a node that is a member. */
+/* Handles a message of kind SP_DEMAND from a member node. */
 void capacity_receive(struct capacity *, msec, name_id from, const sp_msg *);
-/* How an order ended: taken, refused as there are none, or no answer. */
+/* Answers to an order: accepted, none available, or no answer. */
 enum capacity_result {
 	CAPACITY_TAKEN,
 	CAPACITY_NONE,
 	CAPACITY_UNKNOWN
 };
+/* Reports the answer to an order of `count` servers in total. */
 void
 capacity_ordered(struct capacity *, msec, name_id service, unsigned int domain,
-    enum capacity_kind, unsigned int, enum capacity_result);
-/* Decide and order what is due. */
+    enum capacity_kind, unsigned int count, enum capacity_result);
+/* Decides on the number of servers and orders changes. */
 void capacity_tick(struct capacity *, msec);
 
 #endif /* CAPACITY_H */
--- a/usage.c
+++ b/usage.c
@@ -1,5 +1,5 @@
 /*
- * Counting what began to run; see usage.h.
+ * Counts of requests that began to run; see usage.h.
  */
 
 #define LOG_PART "usage"
@@ -8,28 +8,28 @@
 #include <stdlib.h>
 #include <string.h>
 
-/* Counts that have grown are told so often. */
+/* Interval at which changed counts are sent. */
 #define USAGE_TELL_MS 500
-/* All of a window is told so many times after its end: datagrams get lost. */
+/* Times that all counts of an ended window are sent, as datagrams get lost. */
 #define USAGE_LAST_TIMES 3
-/* A wall clock that moves by more in one tick has been set. */
+/* Change of the wall clock in one tick that counts as a jump. */
 #define USAGE_JUMP_MS 100
-/* Clocks that differ by less are left alone. */
+/* Minimum clock difference that is corrected. */
 #define USAGE_APART_MS 150
-/* What a clock showed is of use for so long. */
+/* Time for which a received clock reading is used. */
 #define USAGE_CLOCK_MS (10 * MSEC_SECOND)
-/* So many other clocks, at least, to set ours by. */
+/* Minimum number of other clocks for a correction. */
 #define USAGE_CLOCKS_LEAST 3
-/* No process begins more in a window; a message of more is wrong. */
+/* Maximum plausible count of a process in a window. */
 #define USAGE_COUNT_MAX 10000000
 
-/* What one process has told of a window. */
+/* Counts of a window received from one process. */
 struct usage_told {
 	name_id node;
 	uint64_t incarnation;
-	bool last;
-	unsigned int total; /* as it says */
-	unsigned int sum;   /* of what has come */
+	bool last;	    /* the window had ended when it sent them */
+	unsigned int total; /* total that it reported */
+	unsigned int sum;   /* sum of the counts received */
 	GHashTable *counts;
 };
 
@@ -93,7 +93,7 @@
 	return (uint64_t)(usage_true(u, now) / u->window);
 }
 
-/* NULL for one that is over for long, or has not come. */
+/* Returns NULL for a window that is no longer kept or lies in the future. */
 static struct usage_window *
 usage_window(struct usage *u, msec now, uint64_t number)
 {
@@ -102,7 +102,7 @@
 
 	if (number > current + 1 || number + u->nwindows <= current)
 		return NULL;
-	/* A clock that was set right may have gone back. */
+	/* A corrected clock may have gone back. */
 	if (w->used && w->number > number)
 		return NULL;
 	if (!w->used || w->number < number)
@@ -121,7 +121,8 @@
 	u->clocks = table_new(g_free);
 	if (window <= 0)
 		return;
-	/* The running one, one that a clock ahead has begun, those not due. */
+	/* The current one, the next (for fast clocks), and those not due yet.
+	 */
 	u->nwindows =
 	    (unsigned int)CLAMP(lateness / window + 3, 4, USAGE_WINDOWS_MAX);
 	u->windows = g_new0(struct usage_window, u->nwindows);
@@ -160,9 +161,9 @@
 	table_set(w->dirty, organisation, 1);
 }
 
-/* ---- telling ---- */
+/* ---- sending counts ---- */
 
-/* Counts of `which` organisations in as many messages as they take. */
+/* Sends the counts of the organisations in `which`, split into messages. */
 static void
 counts_send(struct usage *u, name_id to, sp_msg *msg, GHashTable *which,
     GHashTable *counts)
@@ -203,8 +204,8 @@
 }
 
 /*
- * Guards against a holder that was no keeper before: nodes that have ended
- * since told their counts to those that were.
+ * Forwards all counts received to a new keeper: nodes that have since stopped
+ * sent theirs only to the previous keepers.
  */
 static void
 usage_pass_on(struct usage *u, msec now, name_id to)
@@ -301,7 +302,7 @@
 	}
 }
 
-/* A window in which nothing began here is told of too: it is whole then. */
+/* Opens the window even without requests, so that a zero total is sent. */
 static void
 usage_open(struct usage *u, msec now)
 {
@@ -318,7 +319,7 @@
 	return x < y ? -1 : x > y;
 }
 
-/* By how much most clocks are ahead of ours, ours among them. */
+/* Median lead of all clocks, the local one included, over the local one. */
 static msec
 usage_median(struct usage *u, msec now, unsigned int *n)
 {
@@ -349,13 +350,13 @@
 {
 	if (llabs(offset - u->offset) < USAGE_APART_MS)
 		return;
-	log_info("the time is %" G_GINT64_FORMAT " ms off, set right",
+	log_info("time was off by %" G_GINT64_FORMAT " ms, corrected",
 	    u->offset - offset);
 	u->offset = offset;
 	u->counters.set++;
 }
 
-/* A keeper hears many clocks, and tells the others. */
+/* A keeper, which receives many clocks, corrects those that differ. */
 static void
 usage_agree(struct usage *u, msec now)
 {
@@ -382,7 +383,7 @@
 	}
 }
 
-/* Of one whose clock is off, too, though ours is right. */
+/* Sends the time to a node whose clock is off, also if the local is right. */
 static void
 usage_correct(struct usage *u, msec now, name_id node, msec ahead)
 {
@@ -411,7 +412,7 @@
 {
 	msec raw = wall - now;
 
-	/* After a jump we go on by our own clock. */
+	/* After a jump of the wall clock, follow the monotonic clock. */
 	if (llabs(raw - u->raw) > USAGE_JUMP_MS) {
 		u->counters.jumps += raw != u->jumped;
 		u->jumped = raw;
@@ -474,7 +475,7 @@
 	}
 	w = usage_window(u, now, m->window);
 	if (w == NULL || !counts_are_valid(m)) {
-		log_debug("counts of window %" G_GUINT64_FORMAT " dropped",
+		log_debug("ignored counts of window %" G_GUINT64_FORMAT,
 		    (guint64)m->window);
 		u->counters.dropped++;
 		return;
@@ -545,7 +546,10 @@
 	return true;
 }
 
-/* Processes that began after the base was written are not in it. */
+/*
+ * Takes the maximum of the received counts and the base of a previous holder,
+ * plus the counts of processes that started after the base was recorded.
+ */
 GHashTable *
 usage_sum(struct usage *u, uint64_t number)
 {
--- a/usage.h
+++ b/usage.h
@@ -1,14 +1,16 @@
 /*
- * How many requests of each organisation began to run in each window of true
- * time, over all nodes, reported once a window. A node counts its own and tells
- * a few keepers its counts as they grow: the holder of the duty and those that
- * would follow it, so that neither a node nor the holder takes its counts along
- * when it dies. What is said is in all, so a second copy changes nothing.
+ * Usage counts: the number of requests of each organisation that began to run
+ * in each time window, over all nodes, reported once per window. A node counts
+ * its own requests and sends its counts to a few keepers as they grow: the duty
+ * holder and the nodes that would succeed it, so that no counts are lost when a
+ * node or the holder fails. Messages contain totals, so that duplicates change
+ * nothing.
  *
- * Windows go by true time. A wall clock that jumps moves nothing; one that was
- * wrong when the process began is set right by what the other nodes have.
+ * Windows are aligned to true time: the wall clock corrected by the median of
+ * all nodes' clocks. A jump of the local wall clock is ignored; a clock that
+ * was wrong when the process started is corrected.
  *
- * A core without input or output.
+ * Performs no I/O itself: messages go out through struct usage_ops.
  */
 
 #ifndef USAGE_H
@@ -17,102 +19,104 @@
 #include "proto.h"
 #include "savory.h"
 
-/* Windows that are remembered, at most. */
+/* Maximum windows kept. */
 #define USAGE_WINDOWS_MAX 64
 #define USAGE_KEEPERS_MAX 4
 
 struct usage;
 
-/* What the core calls; must be given. */
+/* Callbacks; must be set. */
 struct usage_ops {
-	/* Send to a node, ourselves too; may be dropped. */
+	/* Sends to a node, possibly the local one; delivery not guaranteed. */
 	void (*send)(struct usage *, name_id, const sp_msg *);
 };
 
-/* One window as this node knows it. */
+/* Counts of one window at this node. */
 struct usage_window {
-	uint64_t number;
+	uint64_t number; /* true time divided by the window length */
 	bool used;
-	/* Our own. */
+	/* Requests that began at this node. */
 	GHashTable *own;   /* organisation to count */
-	GHashTable *dirty; /* organisations not told yet */
+	GHashTable *dirty; /* organisations with unsent counts */
 	unsigned int total;
-	unsigned int told_last; /* times that all was told after its end */
-	/* As a keeper: what each process has told. */
+	unsigned int
+	    told_last; /* times that all counts were sent after its end */
+	/* As a keeper: counts received from each process. */
 	GHashTable *nodes;
-	/* What a holder before us wrote down, and when by true time. */
+	/* Counts recorded by a previous holder, and when in true time. */
 	GHashTable *base;
 	msec base_at;
-	bool decided;
+	bool decided; /* its final counts are fixed */
 };
 
-/* What another node's clock differs from ours by. */
+/* Difference of another node's wall clock from the local one. */
 struct usage_clock_seen {
 	msec at;
 	msec ahead;
 };
 
-/* Counters; all only grow. */
+/* Monotonic counters. */
 struct usage_counters {
-	uint64_t dropped; /* messages that cannot be right */
-	uint64_t jumps;	  /* of our wall clock */
-	uint64_t set;	  /* times that we took another time */
+	uint64_t
+	    dropped;	/* messages with implausible counts or an old window */
+	uint64_t jumps; /* of the local wall clock */
+	uint64_t set;	/* corrections of the true time */
 };
 
-/* In the embedder's memory; one per node. */
+/* State of one node; the caller allocates it. */
 struct usage {
 	const struct usage_ops *ops;
 	msec window;
-	/* Wall clock less our own clock: as it was last, and as we use it. */
+	/* Wall clock minus monotonic clock: without jumps, and as corrected. */
 	msec raw, offset;
-	msec jumped;	       /* the former as it is now, after a jump */
-	GHashTable *clocks;    /* node to struct usage_clock_seen */
-	unsigned int nwindows; /* remembered, the running one among them */
+	msec jumped;	    /* wall clock minus monotonic clock since a jump */
+	GHashTable *clocks; /* node to struct usage_clock_seen */
+	unsigned int nwindows; /* kept, including the current one */
 	struct usage_window *windows;
 	name_id keepers[USAGE_KEEPERS_MAX];
 	unsigned int nkeepers;
-	msec next_tell;
+	msec next_tell; /* when to send counts next */
 	struct usage_counters counters;
-	void *arg; /* the embedder's */
+	void *arg; /* for the callbacks */
 };
 
 /*
- * For windows of so many ms that are due so long after their end, with the wall
- * clock in ms since 1970; the end.
+ * Initialise for windows of `window` ms (0: disabled) that are reported
+ * `lateness` ms after their end, with the wall clock in ms since 1970; free.
  */
 void usage_init(struct usage *, const struct usage_ops *, msec window,
     msec lateness, msec now, msec wall);
 void usage_finish(struct usage *);
-/* True time in ms since 1970, as well as we know it. */
+/* Returns the estimated true time in ms since 1970. */
 msec usage_true(const struct usage *, msec now);
-/* A request of an organisation began to run. */
+/* Counts a request of an organisation that began to run. */
 void usage_began(struct usage *, msec now, name_id organisation);
-/* Who keeps counts from now on; one that is new is told all that we know. */
+/* Sets the keepers; new ones are sent all counts that this node has. */
 void usage_set_keepers(struct usage *, msec now, const name_id *, unsigned int);
-/* A message of kind SP_USAGE_* from a process of a node that is a member. */
+/* Handles a message of kind SP_USAGE_* from a process of a member node. */
 void usage_receive(struct usage *, msec now, name_id from, uint64_t incarnation,
     const sp_msg *);
-/* Do what is due, with the wall clock; when to call it next. */
+/* Sends what is due; takes the wall clock, returns when to call it next. */
 msec usage_tick(struct usage *, msec now, msec wall);
 
 /* ---- as the holder ---- */
 
-/* A process that should have told its counts. */
+/* A process whose counts are expected. */
 struct usage_process {
 	name_id node;
 	uint64_t incarnation;
 };
 /*
- * The oldest window that ended so long ago and is not decided; false: none.
- * `whole`: all of the processes have told all of theirs.
+ * Finds the oldest window that has ended and is not decided; false: none.
+ * `ago`: ms since its end. `whole`: the processes have sent all their counts.
  */
 bool usage_ended(struct usage *, msec now, const struct usage_process *,
     unsigned int, uint64_t *number, msec *ago, bool *whole);
 /* Counts of a window by organisation: name_id to guint; freed by the caller. */
 GHashTable *usage_sum(struct usage *, uint64_t number);
-/* It is decided, here or by the holder before us. */
+/* Marks a window as decided, by this holder or a previous one. */
 void usage_decided(struct usage *, uint64_t number);
-/* What a holder before us had counted of it, at a point of true time. */
+/* Sets the count that a previous holder recorded at `wall` in true time. */
 void usage_base(struct usage *, uint64_t number, msec wall,
     name_id organisation, unsigned int count);
 
