--- a/dispatch-private.h
+++ b/dispatch-private.h
@@ -10,7 +10,7 @@
 #include <inttypes.h>
 #include <string.h>
 
-/* Reservations that one request may have open at a time. */
+/* Candidate engines that one request may have reservations with at a time. */
 #define LEGS_MAX 8
 /* Engines that refused a request and are not tried again in this round. */
 #define TRIED_MAX 32
@@ -261,7 +261,7 @@
 
 /* ---- requests of this entry node ---- */
 
-/* A reservation that a request has open with one owner. */
+/* An engine with whose owner a request has an open reservation. */
 struct leg {
 	struct engine *engine;
 	name_id owner;
@@ -286,7 +286,7 @@
 	bool keep; /* never refused for load: protected, or resumed */
 	struct leg legs[LEGS_MAX];
 	unsigned int nlegs;
-	unsigned int want; /* legs to keep open */
+	unsigned int want; /* candidates to keep reserved */
 	name_id tried[TRIED_MAX];
 	unsigned int ntried;
 	unsigned int refusals;
@@ -294,8 +294,8 @@
 	msec retry_after;
 	msec start_by;
 	msec widen_at;
-	msec retry_at; /* next round if no leg is open; else MSEC_NEVER */
-	unsigned int widened;  /* times that legs were added */
+	msec retry_at; /* next round without candidates; else MSEC_NEVER */
+	unsigned int widened;  /* times that candidates were added */
 	struct engine *engine; /* that granted it */
 	msec granted;
 	msec first_token; /* ms after the grant; -1: none */
