--- a/place-baseline.c
+++ b/place-baseline.c
@@ -1,6 +1,6 @@
 /*
- * Baselines that placement is measured against, and a way to run without it:
- * each node picks a server at once, by its own requests, and asks nobody.
+ * Baseline policies for server selection without coordinators, for comparison
+ * and as a fallback: each node selects a server at once by its own requests.
  */
 
 #define LOG_PART "place"
@@ -8,10 +8,9 @@
 
 #include <string.h>
 
-/* One of them. */
 struct place_policy {
 	const char *name;
-	/* One of the `n` servers, n > 0. */
+	/* Returns one of the `n` servers, n > 0. */
 	struct server *(*pick)(struct place *, struct server **, unsigned int);
 };
 
--- a/place-coordinate.c
+++ b/place-coordinate.c
@@ -1,6 +1,7 @@
 /*
- * A coordinator of placement: which group of servers it has, what it counts on
- * them, and which one it chooses.
+ * The coordinator's side of server selection (see place.h): the groups of
+ * servers and their coordinators, the requests counted on each server, and the
+ * choice of a server.
  */
 
 #define LOG_PART "place"
@@ -11,22 +12,22 @@
 
 #include <xxhash.h>
 
-/* What a coordinator has not heard of for so long has ended. */
+/* A counted request whose end was not reported is dropped after this. */
 #define PLACE_HOLD_MS (30 * MSEC_SECOND)
-/* A coordinator that was not asked for so long knows nothing any more. */
+/* A coordinator without a request for this long starts a new period. */
 #define PLACE_IDLE_MS (5 * MSEC_SECOND)
-/* One that began later than that may not know what servers have read. */
+/* In this time after its start it may not know which prompts servers hold. */
 #define PLACE_YOUNG_MS (15 * MSEC_SECOND)
-/* The one before it may not know yet for so long. */
+/* In this time the previous coordinator may still be active. */
 #define PLACE_BEGAN_MS (4 * MSEC_SECOND)
-/* A service has no more; then its groups are larger. */
+/* Maximum groups of a service; more servers make the groups larger. */
 #define PLACE_GROUPS_MAX 64
-/* Ready servers of a group, at least, where groups are planned. */
+/* Minimum ready servers per group if the service has a configured maximum. */
 #define PLACE_GROUP_LEAST 6
-/* Slots of a server that does not say. */
+/* Slots assumed if no server of the service reports its own. */
 #define PLACE_SLOTS 32
 
-/* One request that a coordinator counts on a server. */
+/* A request counted by a coordinator on a server. */
 struct place_hold {
 	RB_ENTRY(place_hold) entry;
 	name_id node;
@@ -34,13 +35,13 @@
 	name_id server;
 	name_id service;
 	name_id route;
-	uint64_t prompt; /* shared part that it was the first to bring */
+	uint64_t prompt; /* shared prefix new to its server; 0: none */
 	unsigned int rank;
-	unsigned int tokens; /* of its prompt, while it is not read */
-	bool model;	     /* it has a prompt */
-	bool pressed;	     /* the limit was near when it was let in */
-	bool late;	     /* it was learned from as such */
-	bool counted;	     /* as running, of its kind */
+	unsigned int tokens; /* unread prompt tokens */
+	bool model;	     /* the request has a prompt */
+	bool pressed;	     /* it was admitted near the limit */
+	bool late;	     /* recorded as late in the limit */
+	bool counted;	     /* as running in the statistics of its route */
 	msec since;
 };
 
@@ -117,10 +118,10 @@
 }
 
 /*
- * Guards against prompts that are read again whenever servers come or go by
- * the dozen: another number of groups moves a part of all of them. Where
- * servers are ordered, the number goes by the most that may be, and is halved
- * only for groups that get too small to choose from.
+ * A change of the number of groups moves a part of all prompts to other
+ * servers, which read them again. So if the service has a configured maximum of
+ * servers, the number of groups is computed from that maximum and not from the
+ * ready servers, and is halved only while groups have too few ready servers.
  */
 unsigned int
 place_groups(struct place *p, name_id service)
@@ -144,7 +145,7 @@
 	return XXH64(words, sizeof words, 4);
 }
 
-/* Ready servers of each group. */
+/* Counts the ready servers of each group. */
 static void
 place_sizes(
     struct place *p, name_id service, unsigned int groups, unsigned int *sizes)
@@ -158,9 +159,9 @@
 }
 
 /*
- * Where a prompt is read, or any group for a request without one. Groups are
- * chosen by their size (weighted rendezvous hashing): a fifth more servers
- * than in another get a fifth more prompts.
+ * Selects the group by the prompt's hash, or at random for a request without a
+ * prompt. Groups are weighted by their size (weighted rendezvous hashing): a
+ * group with 20 % more servers gets 20 % more prompts.
  */
 unsigned int
 place_group(struct place *p, const struct server_wish *w, unsigned int groups)
@@ -220,8 +221,9 @@
 }
 
 /*
- * Guards against a server that gets the whole of its rate from each node: where
- * all are about to end, none coordinates, and each is asked by itself only.
+ * Returns true if other nodes send their requests to this coordinator. If all
+ * nodes are stopping, none coordinates and each places its own requests only;
+ * each must then not use a server's whole rate limit.
  */
 static bool
 place_is_asked(const struct place *p)
@@ -235,7 +237,7 @@
 	return p->nnodes <= 1;
 }
 
-/* `all`: as coordinator, by all nodes' requests; else by our own. */
+/* `all`: as coordinator, by requests of all nodes; else of this node. */
 static struct server_view
 place_view(struct place *p, msec now, const struct server_wish *w, bool all,
     unsigned int groups, unsigned int group)
@@ -253,7 +255,7 @@
 	view.sole = all && place_is_asked(p);
 	view.young = coordinates < PLACE_YOUNG_MS;
 	view.began = coordinates < PLACE_BEGAN_MS;
-	/* One that was sent before goes first as well. */
+	/* A retried request counts as urgent. */
 	view.urgent = w->navoid > 0 || !mix_has_more_urgent(m, w->rank);
 	if (w->own + w->shared > 0) {
 		view.light = mix_is_light(m, w->route);
@@ -274,7 +276,6 @@
 	return server_choose(p->servers, now, w, &view, g_rand_int(p->rand));
 }
 
-/* Count a request on a server, or take it off again. */
 void
 place_load_add(struct server_load *l, unsigned int rank, unsigned int tokens)
 {
@@ -324,7 +325,7 @@
 {
 	struct server *v = servers_find(p->servers, h->server);
 
-	/* It was turned away, or given up, before its prompt was read. */
+	/* The request ended before the server read its prompt. */
 	if (h->tokens > 0 && h->prompt != 0)
 		server_memory_forget(
 		    &p->servers->all_memory, h->server, h->prompt);
@@ -380,9 +381,9 @@
 }
 
 /*
- * Guards against a new coordinator that keeps no server free for streams with
- * short pauses: it hears of those that run, but of their kind only by the next
- * that comes.
+ * Guards against a new coordinator that reserves no servers for streams with a
+ * low gap target: nodes report their running requests to it, but it learns the
+ * properties of their route only from the next new request.
  */
 static void
 holds_adopt(struct place *p, msec now, name_id service, name_id route)
@@ -399,7 +400,7 @@
 	mix_adopt(place_mix(&p->all, service), now, route, n);
 }
 
-/* A kind of request is known by its first, whoever placed it. */
+/* The first request of a route adds the route, whichever node placed it. */
 void
 place_seen(struct place *p, msec now, const struct server_wish *w, bool all)
 {
@@ -413,12 +414,12 @@
 		holds_adopt(p, now, w->service, w->route);
 }
 
-/* The most that may be read before a request, by how others fared. */
+/* Maximum time to read the prompts before a request, in ms; 0: no limit. */
 static msec
 coordinate_limit(
     struct mix *m, const struct server_wish *w, const struct server_view *view)
 {
-	/* One that was sent before has cost a server its work. */
+	/* A refused retry would waste the work of the server before. */
 	if (w->target == 0 || w->navoid > 0 || w->own + w->shared == 0)
 		return 0;
 	return server_limit_ms(view->light ? &m->limit_light : &m->limit,
@@ -451,7 +452,7 @@
 	return v;
 }
 
-/* How a request ended, on the wire and back. */
+/* Results of requests and their wire values. */
 static const struct {
 	enum server_result result;
 	enum sp_place_what what;
@@ -485,7 +486,7 @@
 	return SP_PLACE_ENDED;
 }
 
-/* How it fared says whether too many are let in. */
+/* Adjusts the admission limit by whether the request was served in time. */
 static void
 hold_learn(struct place *p, struct place_hold *h, bool late)
 {
@@ -520,14 +521,14 @@
 		hold_learn(p, h, false);
 		mix_held(place_mix(&p->all, h->service), now - h->since);
 	}
-	/* Our own requests have taught us already. */
+	/* place_end() has recorded the results of this node's requests. */
 	v = servers_find(p->servers, h->server);
 	if (v != NULL && node != p->self)
 		server_learn(v, now, place_result(what));
 	hold_end(p, now, h);
 }
 
-/* Requests end without a word when their node does. */
+/* Drops requests whose end was not reported, such as those of a dead node. */
 void
 place_sweep(struct place *p, msec now)
 {
--- a/place-rate.c
+++ b/place-rate.c
@@ -1,16 +1,16 @@
 /*
- * Rates that servers name, between the nodes that hear of them and the
- * coordinators that count; see server-rate.h.
+ * Exchange of servers' rate limits between the nodes that receive them in
+ * responses and the coordinators that enforce them; see server-rate.h.
  */
 
 #define LOG_PART "place"
 #include "place-private.h"
 
-/* What was heard is told again so often, as messages get lost. */
+/* Interval of repeated reports, as messages may be lost. */
 #define RATE_AGAIN_MS (5 * MSEC_SECOND)
-/* That a server names none any more is news for so long. */
+/* How long the removal of a rate limit is included in replies. */
 #define RATE_NEWS_MS (5 * MSEC_SECOND)
-/* A server that said nothing for so long has no more to tell. */
+/* A rate limit without an update for this long is not reported any more. */
 #define RATE_FORGET_MS (5 * 60 * MSEC_SECOND)
 
 static void
@@ -31,7 +31,7 @@
 	p->ops->send(p, to, &msg);
 }
 
-/* It names a rate, or did so until a moment ago. */
+/* The server has a rate limit, or had one until RATE_NEWS_MS ago. */
 static bool
 rate_is_news(const struct server *v, msec now)
 {
@@ -40,7 +40,7 @@
 		   (v->rate.since != 0 && now - v->rate.since < RATE_NEWS_MS));
 }
 
-/* The next few after those that were told last. */
+/* Continues after the server that was listed last. */
 unsigned int
 place_rates_list(
     struct place *p, msec now, const struct server_wish *w, sp_place_rate *out)
@@ -98,7 +98,7 @@
 	}
 }
 
-/* Who holds on to what is over hears so. */
+/* A sender with an outdated rate limit is sent the newer one. */
 void
 place_rate_told(struct place *p, msec now, name_id from, const sp_place_rate *m)
 {
--- a/place.c
+++ b/place.c
@@ -1,5 +1,6 @@
 /*
- * Placement by coordinators; see place.h.
+ * Selection of a server at the node that received the request; see place.h.
+ * place-coordinate.c has the coordinator's side.
  */
 
 #define LOG_PART "place"
@@ -7,25 +8,29 @@
 
 #include <string.h>
 
-/* An answer that is not there by then is not waited for. */
+/*
+ * Time limit of a coordinator's reply: a multiple of the smoothed round trip,
+ * within these bounds.
+ */
 #define PLACE_WAIT_LEAST_MS 20
 #define PLACE_WAIT_MOST_MS 80
 #define PLACE_WAIT_TIMES 4
-/* So many answers missed in a row, and nobody is asked for a while. */
+/* After this many missed replies in a row, no coordinator is asked for a time.
+ */
 #define PLACE_MISSED_MAX 6
 #define PLACE_ALONE_MS 1000
 /*
- * Guards against a partition that looks like a smaller fleet: a node that is
- * cut off from the others would think that its own requests are all there
- * are. It goes by the most nodes it saw in so long.
+ * Guards against a network partition that looks like a smaller fleet: a
+ * partitioned node would take its own requests for all traffic. It uses the
+ * largest number of nodes seen in this period.
  */
 #define PLACE_FLEET_MS (30 * MSEC_SECOND)
 #define PLACE_SWEEP_MS MSEC_SECOND
 /*
- * A node coordinates once its process is so old: news of it takes up to 3 s to
- * reach all of 60 nodes while others come and go. But where fewer than one in
- * so many that take work are that old, all do: few nodes should not place for
- * all.
+ * Minimum process age of a coordinator: membership updates take up to 3 s to
+ * reach all of 60 nodes while others join and leave. If fewer than one in
+ * PLACE_GROWN_ONE_IN nodes that take work are that old, all of them coordinate,
+ * so that a few nodes do not decide for all.
  */
 #define PLACE_GROWN_MS (5 * MSEC_SECOND)
 #define PLACE_GROWN_ONE_IN 4
@@ -74,7 +79,7 @@
 		.gap_ms = (u_int)w->gap_target,
 		.target_ms = (u_int)w->target,
 		.rank = w->rank };
-	/* An encoder only reads; its signature serves both directions. */
+	/* XDR encoding only reads the list, but its type is not const. */
 	m->avoid.avoid_len = w->navoid;
 	m->avoid.avoid_val = (u_quad_t *)w->avoid;
 }
@@ -114,9 +119,9 @@
 	p->ops->send(p, r->coordinator, &msg);
 }
 
-/* ---- as the node of the request ---- */
+/* ---- requests of this node ---- */
 
-/* It goes to the server: count it among our own. */
+/* Counts the request on its server and reports the decision. */
 static void
 place_decide(
     struct place *p, msec now, struct place_request *r, struct server *v)
@@ -137,7 +142,7 @@
 	p->ops->decided(p, r, v, now);
 }
 
-/* The coordinator hears of a request that it did not place itself. */
+/* Reports a request to a coordinator that did not place it. */
 static void
 place_tell_took(struct place *p, msec now, struct place_request *r)
 {
@@ -159,14 +164,17 @@
 	p->ops->send(p, r->coordinator, &msg);
 }
 
-/* Note what a coordinator said of a request, also we ourselves. */
+/*
+ * Records whether the coordinator, which may be this node, reported a queue
+ * beyond the limit.
+ */
 static void
 place_told(struct place *p, msec now, const struct place_request *r)
 {
 	const struct place_queue *q = &r->queue;
 	struct server_told *t;
 
-	/* One that was sent before is let in anyway. */
+	/* A request that was sent before is always admitted. */
 	if (r->wish.navoid > 0)
 		return;
 	t = mix_told(place_mix(&p->own, r->wish.service), r->wish.route);
@@ -176,12 +184,12 @@
 }
 
 /*
- * Guards against a burst that is let in whole while coordinators do not
- * answer: without it servers turned away 11,138 of 44,430 arrivals, with it 396
+ * Guards against a burst that is admitted whole while coordinators do not
+ * reply: without this, servers refused 11,138 of 44,430 arrivals, with it 396
  * of 29,122 (60 nodes restarted one every 0.27 s, 90 servers, six times the
- * load). By its own requests a node cannot tell how long the queues are, but
- * the others ask for the same servers as a moment ago, so the same part of its
- * requests is turned away as was then.
+ * load). A node cannot derive the queue lengths from its own requests, but
+ * the traffic of the other nodes changes little within seconds, so it refuses
+ * the same share of its requests as the coordinators did last.
  */
 static bool
 place_guess_away(struct place *p, msec now, struct place_request *r)
@@ -197,7 +205,10 @@
 	return true;
 }
 
-/* Without an answer: by our own requests, and the coordinator hears of it. */
+/*
+ * Selects a server without the coordinator's reply, by the requests of this
+ * node, and reports the choice to the coordinator.
+ */
 static void
 place_alone(struct place *p, msec now, struct place_request *r)
 {
@@ -209,7 +220,7 @@
 	if (v == NULL && groups > 1)
 		v = place_choose(p, now, &r->wish, false, 1, 0);
 	p->counters.alone++;
-	/* One that goes nowhere is not counted anywhere. */
+	/* A refused request reaches no server, so no coordinator counts it. */
 	if (v != NULL && place_guess_away(p, now, r))
 		r->id = 0;
 	r->server = v != NULL ? v->id : 0;
@@ -341,19 +352,19 @@
 	v = t->server != 0 ? servers_find(p->servers, t->server) : NULL;
 	for (i = 0; i < t->rates.rates_len; i++)
 		place_rate_told(p, now, from, &t->rates.rates_val[i]);
-	/* A new one does not know yet which rate the server names. */
+	/* A new coordinator may not have the server's rate limit yet. */
 	if (v != NULL && v->rate.per_s > 0 && !t->rated) {
 		place_rate_heard(p, now, v);
 		v = NULL;
 	}
-	/* What we know of draining servers goes before another's choice. */
+	/* A server that this node knows to be draining is not used. */
 	if (v == NULL || v->state != SERVER_READY)
 		place_alone(p, now, r);
 	else
 		place_decide(p, now, r, v);
 }
 
-/* As coordinator. */
+/* As coordinator: replies to a query. */
 static void
 place_answer(struct place *p, msec now, name_id from, const sp_place_ask *ask)
 {
@@ -412,7 +423,7 @@
 
 /* ---- nodes ---- */
 
-/* Another node coordinates from now on: it hears what runs. */
+/* Reports a running request to the coordinator that its group has now. */
 static void
 place_move(struct place *p, msec now, struct place_request *r)
 {
@@ -428,11 +439,11 @@
 }
 
 /*
- * Guards against two coordinators of one group: a node that comes back would
- * take its groups at once from whoever has them, for those nodes that have
- * heard of it; each of the two then counts a part of the load and lets in what
- * the other's part leaves no room for. All nodes go by the age of its process,
- * so they agree when it is its turn.
+ * Guards against two coordinators of one group: without a minimum age, nodes
+ * that have learned of a restarted node would use it at once while the others
+ * still use the previous coordinator. Each of the two would count a part of
+ * the load and admit requests for which there is no capacity. All nodes use
+ * the age of its process, so they switch at the same time.
  */
 static void
 nodes_grow(struct place_node *nodes, unsigned int n)
--- a/place.h
+++ b/place.h
@@ -1,16 +1,19 @@
 /*
- * Placement: which server gets a request, decided by one node that hears of
- * all requests for a group of servers, its coordinator. Bad knowledge is what
- * costs most: nodes that each know their own requests only pile long prompts
- * on one server, read shared parts again, and disagree which servers are
- * quiet. Asking costs a round trip between nodes.
+ * Selects the backend server of each request. (placement.h is about another
+ * matter: which models are loaded on which engines.)
  *
- * A coordinator keeps nothing that has to last: it is found by rendezvous
- * hashing over the live nodes, counts what it hears, and forgets what is not
- * renewed. A node that gets no answer in time decides by itself, by its own
- * requests, and tells the coordinator.
+ * A coordinator node decides for all requests for a group of servers. Without
+ * one, each node would see its own requests only: nodes would send long
+ * prompts to the same server, have shared prompt prefixes read again, and
+ * disagree about which servers are reserved for light requests. A decision by
+ * the coordinator costs a round trip between nodes.
  *
- * A core without input or output.
+ * A coordinator has no persistent state: it is selected by rendezvous hashing
+ * over the live nodes, counts the requests reported to it, and drops entries
+ * that expire. A node that gets no reply in time selects a server from its own
+ * requests and reports the choice to the coordinator.
+ *
+ * The module does no I/O; messages go through struct place_ops.
  */
 
 #ifndef PLACE_H
@@ -22,47 +25,50 @@
 #include "server.h"
 
 /*
- * Servers of one coordinator. Beyond, a service is cut into groups, each with
- * a coordinator of its own, so that no node hears of all requests.
+ * Maximum servers per coordinator. A larger service is divided into groups,
+ * each with its own coordinator, so that no node handles all requests.
  */
 #define PLACE_GROUP_SERVERS 20
 
-/* What was to be read when a request was placed, in ms; 0: not known. */
+/*
+ * Estimated time to prefill (read) the unread prompts when a request was
+ * placed, in ms; 0: not known.
+ */
 struct place_queue {
-	msec wait;  /* by its server, with the request itself */
-	msec ahead; /* before it, as urgent or more: by its server, or on
-		       average by all that it might go to if that is less */
-	msec limit; /* the most that may be ahead; 0: any */
+	msec wait;  /* on its server, including the request itself */
+	msec ahead; /* of prompts at least as urgent, before it: on its
+		       server, or the average of the servers that it
+		       may use, if that is less */
+	msec limit; /* maximum for `ahead`; 0: no limit */
 };
 
 /*
- * Is so much to be read before a request that it is better turned away? See
- * server-limit.h.
+ * Returns true if `ahead` exceeds `limit`, so that the request should be
+ * refused. See server-limit.h.
  */
 bool place_queue_is_long(const struct place_queue *);
 
-/* One request that is placed, or runs. In the embedder's memory. */
+/* A request that waits for a server or runs on one. Owned by the caller. */
 struct place_request {
 	TAILQ_ENTRY(place_request) entry;
 	struct server_wish wish;
 	void *arg;
-	/* When decided. */
-	struct place_queue queue;
+	struct place_queue queue; /* set when decided() is called */
 	/* Private from here. */
-	uint32_t id;	     /* 0: not known to place */
-	name_id coordinator; /* who counts it */
-	msec asked;
-	bool waiting; /* for an answer */
-	bool local;   /* counted in our own numbers, and in `running` */
-	bool unread;  /* its prompt is not read yet */
-	bool late;    /* the coordinator has heard so */
+	uint32_t id;	     /* 0: not reported to any coordinator */
+	name_id coordinator; /* node that counts the request */
+	msec asked;	     /* when the coordinator was asked */
+	bool waiting;	     /* for the coordinator's reply */
+	bool local;  /* counted in the server's `own` load and in `running` */
+	bool unread; /* the server has not read the prompt yet */
+	bool late;   /* reported as late to the coordinator */
 	name_id server;
 };
 TAILQ_HEAD(place_requests, place_request);
 
 struct place_hold;
 struct place_policy;
-/* Requests that a coordinator counts; kinds of request by service. */
+/* Requests counted by a coordinator; traffic statistics by service. */
 RB_HEAD(place_holds, place_hold);
 RB_HEAD(place_mixes, mix);
 int place_mix_compare(struct mix *, struct mix *);
@@ -70,33 +76,44 @@
 
 struct place;
 
-/* What the core calls; all must be given. */
+/* Callbacks; all are required. */
 struct place_ops {
-	/* Send to a node; may be dropped. Must not call back. */
+	/*
+	 * Sends a message to a node; it may be lost. Must not call a function
+	 * of this module.
+	 */
 	void (*send)(struct place *, name_id, const sp_msg *);
-	/* The server for it, or NULL: there is none. */
+	/* A server was selected; NULL: none is available. */
 	void (*decided)(
 	    struct place *, struct place_request *, struct server *, msec);
-	/* Another node heard a server name another rate than before. */
+	/* Another node reported a changed rate limit of a server. */
 	void (*rated)(struct place *, struct server *, msec);
 };
 
-/* A node as the membership has it, ourselves too. */
+/* A node of the membership; the local node is one of them. */
 struct place_node {
 	name_id id;
 	bool takes_work;
-	msec age;	  /* since its process began; less than 0: not known */
-	bool coordinates; /* private */
+	msec age;	  /* of its process in ms; less than 0: not known */
+	bool coordinates; /* private: may be a coordinator */
 };
 
-/* Counters; all only grow. */
+/* Monotonic counters. */
 struct place_counters {
+	/*
+	 * Queries sent to coordinators, replies in time, late replies,
+	 * decisions without a coordinator, requests counted as coordinator.
+	 */
 	uint64_t asked, answered, late, alone, coordinated;
-	uint64_t alone_away; /* of `alone`, turned away as coordinators did */
-	uint64_t tokens, tokens_kept; /* of prompts, as coordinator */
+	uint64_t alone_away; /* of `alone`: refused at the last known rate */
+	/*
+	 * As coordinator: prompt tokens, and those of them that the server
+	 * had already read.
+	 */
+	uint64_t tokens, tokens_kept;
 };
 
-/* The core's state; one per node, in the embedder's memory. */
+/* State of the module; one per node. Owned by the caller. */
 struct place {
 	const struct place_ops *ops;
 	struct servers *servers;
@@ -105,59 +122,60 @@
 	GRand *rand;
 	unsigned int nnodes;
 	struct place_node *nodes;
-	unsigned int fleet; /* most nodes seen lately */
+	unsigned int fleet; /* largest recent number of nodes */
 	msec fleet_at;
-	msec coordinated_at; /* when it was last asked */
-	msec coordinates_since;
+	msec coordinated_at;	/* last request placed as coordinator */
+	msec coordinates_since; /* start of this node's coordinator period */
 	uint32_t next_id;
-	struct place_requests waiting; /* for an answer */
+	struct place_requests waiting; /* for a coordinator's reply */
 	struct place_requests running; /* on a server */
 	double round_trip;	       /* smoothed, ms */
-	unsigned int missed;	       /* answers in a row */
+	unsigned int missed;	       /* consecutive replies missed */
 	msec next_sweep;
-	msec next_rates;   /* that servers name, told again */
-	msec rates_at;	   /* the newest of them */
-	name_id rate_told; /* server whose rate was passed on last */
-	msec alone_until;  /* nobody is asked before */
+	msec next_rates;   /* when rate limits are sent again */
+	msec rates_at;	   /* last rate limit received or listed */
+	name_id rate_told; /* server whose rate limit was listed last */
+	msec alone_until;  /* coordinators are not asked before */
+	/* Traffic of this node, and of all nodes as coordinator. */
 	struct place_mixes own, all;
 	struct place_holds holds; /* as coordinator */
 	struct place_counters counters;
-	void *arg;			   /* the embedder's */
+	void *arg;			   /* for the caller */
 	const struct place_policy *policy; /* NULL: coordinators decide */
-	unsigned int next_pick;		   /* of round-robin */
+	unsigned int next_pick;		   /* for round-robin */
 };
 
-/* Start for a node's id and failure domain; the end. */
+/* Initialises the module for a node's id and failure domain. */
 void place_init(struct place *, const struct place_ops *, struct servers *,
     name_id self, const char *domain, GRand *);
 /*
- * How servers are chosen: "owner", by coordinators, or a baseline: "random",
- * "round-robin", "least-load", "two-choices".
+ * Sets how servers are selected: "owner" (by coordinators) or a baseline
+ * without coordinators: "random", "round-robin", "least-load", "two-choices".
  */
 void place_set_policy(struct place *, const char *);
 void place_finish(struct place *);
-/* All nodes, ourselves among them. */
+/* Sets the list of all nodes, including the local one. */
 void
 place_set_nodes(struct place *, msec, const struct place_node *, unsigned int);
-/* So many servers a service may get, by what operators say; 0: not said. */
+/* Sets the configured maximum of a service's servers; 0: not configured. */
 void place_set_most(struct place *, name_id service, unsigned int);
-/* Find a server; decided() is called before it returns, or later. */
+/* Selects a server; decided() is called before this returns, or later. */
 void place_submit(struct place *, msec, struct place_request *);
-/* Its prompt has been read: the answer has begun. */
+/* The server has read the request's prompt: its response has begun. */
 void place_read(struct place *, msec, struct place_request *);
-/* The server kept it waiting for longer than it should. */
+/* The server did not begin its response within the target time. */
 void place_late(struct place *, msec, struct place_request *);
 /*
- * It is not wanted any more, or has left its server in such a way: what is
- * learned of the server, here and by the coordinator.
+ * The request was cancelled or has left its server. The result is recorded for
+ * the server here and by the coordinator.
  */
 void
 place_end(struct place *, msec, struct place_request *, enum server_result);
-/* A server has just named another rate than before in an answer to us. */
+/* A response to this node carried a changed rate limit of the server. */
 void place_rate_heard(struct place *, msec, const struct server *);
-/* From a node. */
+/* Handles a message from another node. */
 void place_receive(struct place *, msec, name_id, const sp_msg *);
-/* Do what is due; the point at which to call it next. */
+/* Runs due timers; returns the time of the next call. */
 msec place_tick(struct place *, msec);
 
 #endif /* PLACE_H */
--- a/placement.c
+++ b/placement.c
@@ -1,10 +1,10 @@
 /*
  * Placement of models on engines; see placement.h.
  *
- * A new version rolls: one engine first, and while any load of it has failed,
- * no other. An engine keeps its old version in the wanted state until the new
- * one is ready there, so that it serves all the time; when the new one fails,
- * the old one is still loaded and simply stays.
+ * A new version is rolled out to one engine first; once a load of it has
+ * failed, it is not ordered on any other engine. An engine keeps the old
+ * version in its wanted state until the new one is ready there, so that it
+ * serves without a gap; if the new version fails, the old one stays loaded.
  */
 
 #define LOG_PART "placement"
@@ -121,7 +121,7 @@
 	g_strlcpy(m->name, has->name, sizeof m->name);
 	g_strlcpy(m->version, has->version, sizeof m->version);
 	p->rolled_back++;
-	log_warn("%s: %s %s failed to load and is not rolled on", p->service,
+	log_warn("%s: %s %s failed to load, rollout stopped", p->service,
 	    m->name, m->version);
 }
 
@@ -148,7 +148,7 @@
 	}
 }
 
-/* ---- what an engine should have ---- */
+/* ---- wanted state of an engine ---- */
 
 static bool
 placement_is_bad(const struct placement *p, const struct doc_model *m)
@@ -200,7 +200,7 @@
 	(*n)++;
 }
 
-/* Other versions of a model that are ready stay until the new one is. */
+/* Ready versions of the model stay in the wanted state. */
 static void
 engine_want_old(const struct placement_engine *e, struct doc_model *want,
     unsigned int *n, const struct doc_model *m)
@@ -214,7 +214,7 @@
 	}
 }
 
-/* Engines that have been told to load it, and have not got it ready. */
+/* Number of engines that were ordered to load it and do not have it ready. */
 static unsigned int
 placement_rolling(const struct placement *p, const struct doc_model *m)
 {
@@ -230,7 +230,7 @@
 	return n;
 }
 
-/* Engines that have it ready, and all that stay. */
+/* Number of engines that have it ready; `all`: that are not leaving. */
 static unsigned int
 placement_count(
     const struct placement *p, const struct doc_model *m, unsigned int *all)
@@ -249,8 +249,8 @@
 }
 
 /*
- * May one more engine begin to load it? The first one goes alone, so that a
- * version that does not load takes no capacity with it.
+ * Returns true if one more engine may load it now. The first engine loads it
+ * alone, so that a version that fails to load costs no further capacity.
  */
 static bool
 placement_may_roll(struct placement *p, const struct doc_model *m)
@@ -276,7 +276,7 @@
 	return false;
 }
 
-/* The wanted state of one engine now; true when it calls for an order. */
+/* Computes the wanted state of an engine; true if it is not empty. */
 static bool
 engine_plan(struct placement *p, struct placement_engine *e,
     struct doc_model *want, unsigned int *n)
@@ -303,7 +303,7 @@
 	return *n != 0;
 }
 
-/* Has the engine exactly what is wanted, ready or on its way? */
+/* Returns true if the engine has exactly these models, in any load state. */
 static bool
 engine_matches(const struct placement_engine *e, const struct doc_model *want,
     unsigned int n)
@@ -341,7 +341,7 @@
 	    (!again || engine_matches(e, want, n)))
 		return;
 	if (e->nwant == 0 && engine_matches(e, want, n)) {
-		/* As it should be already, by the holder before us. */
+		/* The previous lease holder has ordered this state already. */
 		memcpy(e->want, want, n * sizeof *want);
 		e->nwant = n;
 		return;
--- a/placement.h
+++ b/placement.h
@@ -1,11 +1,12 @@
 /*
- * Placement: which models and versions each engine of a service should have
- * loaded, and how a change of version rolls over the engines. A core without
- * input or output, used by the holder of the service's lease.
+ * Placement of models: which models and versions each engine of a service
+ * should have loaded, and the rolling update to a new version. (place.h is
+ * about another matter: which server gets a request.) The module does no I/O;
+ * the holder of the service's lease uses it.
  *
- * Orders are declarative: the wanted state, sent again until it is read back.
- * So an order lost, doubled or given by the holder before makes no harm that
- * the next round does not mend.
+ * Orders are declarative: each contains the wanted state and is sent again
+ * until the engine reports that state. So an order that is lost, duplicated or
+ * sent by the previous lease holder is corrected in the next round.
  */
 
 #ifndef PLACEMENT_H
@@ -17,10 +18,10 @@
 #define PLACEMENT_MODELS_MAX 8
 /* At most this share of a service's engines changes its version at once. */
 #define PLACEMENT_ROLL_DIVISOR 4
-/* The weight store's loads, as a token bucket. */
+/* Rate limit of loads from the weight store, a token bucket. */
 #define PLACEMENT_LOADS_PER_MINUTE 30
 #define PLACEMENT_LOADS_BURST 4
-/* An order that was not read back is sent again after this. */
+/* An order whose result the engine does not report is sent again after this. */
 #define PLACEMENT_ORDER_AGAIN (3 * MSEC_SECOND)
 
 enum placement_load {
@@ -29,7 +30,7 @@
 	PLACEMENT_FAILED
 };
 
-/* One model on one engine, as it was read back. */
+/* A model on an engine, as reported by the engine. */
 struct placement_model {
 	char name[NAME_SIZE];
 	char version[NAME_SIZE];
@@ -41,15 +42,14 @@
 	name_id id;
 	bool fenced;
 	bool leaving;
-	bool known; /* its state has been read since it came */
+	bool known; /* its state has been read since it was added */
 	unsigned int nhas;
 	struct placement_model has[PLACEMENT_MODELS_MAX];
-	/* The last order, and when it went out; MSEC_NEVER: none. */
+	/* The last order, and when it was sent; MSEC_NEVER: none. */
 	unsigned int nwant;
 	struct doc_model want[PLACEMENT_MODELS_MAX];
 	msec ordered_at;
-	/* Scratch. */
-	bool seen;
+	bool seen; /* named since placement_engines_begin() */
 };
 TAILQ_HEAD(placement_engine_list, placement_engine);
 
@@ -57,8 +57,8 @@
 
 struct placement_ops {
 	/*
-	 * Order the engine to have engine->want. False when no order may go
-	 * out now (the lease); it is then tried in a later round.
+	 * Orders the engine to load engine->want. Returns false if no order
+	 * may be sent now (the lease is not held); a later round tries again.
 	 */
 	bool (*order)(struct placement *, struct placement_engine *, msec);
 };
@@ -83,20 +83,26 @@
 void placement_init(
     struct placement *, const struct placement_ops *, const char *, msec);
 void placement_finish(struct placement *);
-/* The models of the document in force; a version once bad gets new trust. */
+/*
+ * Sets the models of the current document. A change clears the list of
+ * versions that failed to load.
+ */
 void placement_set_models(
     struct placement *, const struct doc_model *, unsigned int);
-/* Begin, name every engine, end: those not named are gone. */
+/*
+ * Replaces the list of engines: begin, one call for each engine, end. Engines
+ * that were not named in between are removed.
+ */
 void placement_engines_begin(struct placement *);
 void
 placement_engine_is(struct placement *, name_id, bool fenced, bool leaving);
 void placement_engines_end(struct placement *);
-/* What an engine said of itself. */
+/* Records the models that an engine reports. */
 void placement_state(
     struct placement *, name_id, const struct placement_model *, unsigned int);
-/* One round: give the orders that are due. */
+/* Sends the orders that are due. */
 void placement_round(struct placement *, msec);
-/* True when every engine that stays has every wanted model ready. */
+/* Returns true if all engines, except leaving ones, have all models ready. */
 bool placement_settled(const struct placement *);
 struct placement_engine *placement_find(struct placement *, name_id);
 
