--- a/place-coordinate.c
+++ b/place-coordinate.c
@@ -221,9 +221,9 @@
 }
 
 /*
- * Returns true if other nodes send their requests to this coordinator. If all
- * nodes are stopping, none coordinates and each places its own requests only;
- * each must then not use a server's whole rate limit.
+ * Returns true if there is a coordinator for all nodes, or no other node. If
+ * all nodes are stopping, none coordinates and each places its own requests
+ * only; none may then use a server's whole rate limit.
  */
 static bool
 place_is_asked(const struct place *p)
--- a/place.h
+++ b/place.h
@@ -163,7 +163,10 @@
 void place_submit(struct place *, msec, struct place_request *);
 /* The server has read the request's prompt: its response has begun. */
 void place_read(struct place *, msec, struct place_request *);
-/* The server did not begin its response within the target time. */
+/*
+ * The server missed the target for the first event or for the longest pause of
+ * a stream, or it timed out.
+ */
 void place_late(struct place *, msec, struct place_request *);
 /*
  * The request was cancelled or has left its server. The result is recorded for
--- a/relay.c
+++ b/relay.c
@@ -1,5 +1,5 @@
 /*
- * Proofs of the newest state, passed from node to node; see relay.h.
+ * Freshness checks shared between nodes; see relay.h.
  */
 
 #define LOG_PART "relay"
@@ -10,9 +10,10 @@
 #include <xxhash.h>
 
 /*
- * Parts of `every`, in percent: between a reader's reads, between questions,
- * until one in vain is asked again, until a read of our own, and between reads
- * of many changes.
+ * Intervals in percent of `every`: between a reader's reads, between queries,
+ * until the next query if the last one confirmed nothing, from the last
+ * confirmation until this node reads itself, and between reads during a burst
+ * of changes.
  */
 #define RELAY_READ_PERCENT 60
 #define RELAY_ASK_PERCENT 75
@@ -20,21 +21,28 @@
 #define RELAY_ALONE_PERCENT 150
 #define RELAY_BURST_PERCENT 50
 /*
- * The same after failures: doubled from the least to the most, and up to as
- * much again. With the time that a call without an answer takes (0.9 s) the
- * most stays under the 2.3 s for which a server that is not listed is held, so
- * that no hold lapses between two calls to a platform that is away.
+ * Delay of a read after failures, in percent of `every`: doubled from the least
+ * to the most, plus a jitter of up to as much again. With the timeout of a call
+ * (0.9 s) the maximum stays below the 2.3 s for which an unlisted server is
+ * kept, so that no such period ends between two calls to an unreachable
+ * platform.
  */
 #define RELAY_RETRY_LEAST_PERCENT 25
 #define RELAY_RETRY_MOST_PERCENT 60
-/* Who did not ask for so many times `every` is not told of changes. */
+/* Nodes that polled within this multiple of `every` are notified of changes. */
 #define RELAY_ASKER_TIMES 3
-/* Who has asked twice within so many times `every` takes us for its reader. */
+/*
+ * A node that polled twice within this multiple of `every` uses the local node
+ * as its reader.
+ */
 #define RELAY_ASKED_TIMES 2
-/* Questions in vain until another candidate is asked, and for how long. */
+/*
+ * Queries without a recent reply until the next candidate is polled, and for
+ * how long it is, in multiples of `every`.
+ */
 #define RELAY_VAIN 3
 #define RELAY_TURN_TIMES 20
-/* An age that says: never known. */
+/* Age on the wire of a subject that was never confirmed. */
 #define RELAY_NEVER UINT32_MAX
 
 void
@@ -67,7 +75,7 @@
 	return XXH64(words, sizeof words, 5);
 }
 
-/* Those that read for a group, the first by weight; the others if it cannot. */
+/* The candidates for a group's reader in descending order of weight. */
 static void
 relay_candidates(
     const name_id *nodes, unsigned int n, uint64_t group, name_id *best)
@@ -93,7 +101,7 @@
 	}
 }
 
-/* Ask the candidate whose turn it is; one that is new is asked soon. */
+/* Sets the reader to the current candidate; a new one is polled at once. */
 static void
 relay_ask_turn(struct relay *r)
 {
@@ -111,8 +119,9 @@
 }
 
 /*
- * Guards against a group that reads for itself, each node, for as long as its
- * reader is turned away by the platform, or lost and not yet known to be.
+ * Changes to the next candidate after several queries without a recent reply.
+ * Guards against a group whose nodes all read for themselves while their reader
+ * is refused by the platform, or dead and still listed as a member.
  */
 static void
 relay_judge(struct relay *r, msec now)
@@ -134,9 +143,10 @@
 }
 
 /*
- * A node may be the reader of a group that it is not in itself. It must read
- * then: if it asked its own group's reader, what it knew would be too old for
- * those who ask it, and they would all read for themselves.
+ * A node may be the reader of a group of which it is not a member. It must read
+ * from the platform then: if it polled its own group's reader, its state would
+ * be too old for the nodes that poll it, and they would all read for
+ * themselves.
  */
 void
 relay_set_nodes(struct relay *r, const name_id *nodes, unsigned int n)
@@ -159,7 +169,7 @@
 	relay_ask_turn(r);
 }
 
-/* ---- what is known ---- */
+/* ---- local state ---- */
 
 static void
 relay_fill(const struct relay *r, msec now, uint32_t seq, sp_msg *msg)
@@ -221,7 +231,7 @@
 	if (r->known[s].mark == mark)
 		return;
 	r->known[s].mark = mark;
-	/* Its age is told with the next answer. */
+	/* The reader's next reply confirms the new mark. */
 	r->known[s].look = -1;
 }
 
@@ -239,16 +249,16 @@
 	msec wait = r->every * RELAY_RETRY_LEAST_PERCENT / 100,
 	     most = r->every * RELAY_RETRY_MOST_PERCENT / 100;
 
-	/* Nobody is served before the first read: it is not put off. */
+	/* The node cannot serve before its first read: no longer delays. */
 	if (k->proven != MSEC_NEVER)
 		wait = MIN(wait << MIN(k->failures, 4), most);
 	k->failures++;
-	/* Spread: nodes that failed together do not call together. */
+	/* Jitter, so that nodes that failed together do not retry together. */
 	wait += (msec)(relay_weight(r->self, (uint64_t)now) % (wait + 1));
 	k->retry_at = now + wait;
 }
 
-/* Others take us for their reader, though we do not. */
+/* Returns true if other nodes use the local node as their reader. */
 static bool
 relay_is_asked(const struct relay *r, msec now)
 {
@@ -264,7 +274,7 @@
 	return false;
 }
 
-/* When a read is due, but for failures of the last. */
+/* When a read is due, without the delay after failures. */
 static msec
 relay_due_at(const struct relay *r, msec now, enum relay_subject s)
 {
@@ -274,12 +284,13 @@
 	if (k->asked < 0)
 		return 0;
 	/*
-	 * A read that was under way when we heard may have missed it. Changes
-	 * come in bursts: one read for some of them.
+	 * A read that had started before the other mark was received may not
+	 * contain the change. Changes come in bursts, so one read serves
+	 * several of them.
 	 */
 	if (k->look > k->asked)
 		return k->asked + r->every * RELAY_BURST_PERCENT / 100;
-	/* Nothing is there to be read yet, and nobody waits for news of it. */
+	/* No read has given a usable state yet. */
 	if (k->proven == MSEC_NEVER)
 		return k->asked + r->every;
 	if (r->reader == r->self || relay_is_asked(r, now))
@@ -320,10 +331,11 @@
 }
 
 /*
- * The teller had this mark, and knew it for the newest, `age` before it
- * answered. It answered after we asked, so the proof is no older than our
- * asking less the age; when its answer came says nothing, since that may have
- * waited, or we may have been paused.
+ * Handles a mark received from another node. That node had confirmed the mark
+ * `age_ms` before it sent the reply, and it sent the reply after the local
+ * query. So the state was current at some time after the query minus the age.
+ * The time at which the reply arrived must not be used: the reply may have been
+ * delayed, or the local process paused.
  */
 static void
 relay_take(struct relay *r, msec now, enum relay_subject s,
@@ -347,7 +359,10 @@
 	r->ops->proven(r, s, then);
 }
 
-/* Before anybody has read anything there is nothing new to be told. */
+/*
+ * New value of `vain` after a reply; 0 while the local node has no confirmed
+ * state, since in a new deployment no node has any yet.
+ */
 static unsigned int
 relay_vain(const struct relay *r, u_int age_ms)
 {
--- a/relay.h
+++ b/relay.h
@@ -1,19 +1,23 @@
 /*
- * Knowing that nothing is new without everybody asking. Each node must know,
- * about once a second, that the configuration and the list of servers it goes
- * by are the newest. Asked of the platform by each, that is the largest part
- * of all calls. So a few nodes read, and the others ask these: "what do you
- * know, and how old is it?" An answer that names what we have ourselves
- * proves it for us as well; one that names something else makes us read.
+ * Freshness checks shared between nodes. Each node must confirm, about once a
+ * second, that its configuration and its list of servers are current. If each
+ * node asked the platform, that would be the largest part of all calls. So a
+ * few nodes (readers) poll the platform, and the others poll a reader for its
+ * version marks and their ages. If a mark in the reply equals the local one,
+ * the local state is confirmed as of that age; if it differs, the local node
+ * reads from the platform. (entry-relay.c connects this module to the entry;
+ * it does not forward requests of callers.)
  *
- * Nobody is elected. Each node asks the one of its group that rendezvous
- * hashing over the live nodes gives, any node answers by what it knows, and
- * ages add up, so that nodes with different views are slower and never wrong.
- * A node that hears nothing in time reads by itself. When the one that it asks
- * is silent, or knows nothing new since the platform turns it away, the next by
- * weight is asked; who is asked again reads.
+ * Readers are not elected. Each node polls the reader of its group, selected
+ * by rendezvous hashing over the live nodes; any node replies with its own
+ * marks, and ages add up along a chain of nodes. So if nodes disagree about
+ * the membership, confirmations are older but never wrong. A node without a
+ * confirmation in time reads from the platform itself. If the reader does not
+ * reply, or has nothing recent because the platform refuses its calls, the
+ * candidate with the next lower weight is polled, and a node that is polled
+ * repeatedly begins to read.
  *
- * A core without input or output.
+ * The module does no I/O; messages go through struct relay_ops.
  */
 
 #ifndef RELAY_H
@@ -22,117 +26,123 @@
 #include "proto.h"
 #include "savory.h"
 
-/* Nodes that ask one reader. More of them cost the reader's processor. */
+/* Nodes per reader. A larger group would load the reader's CPU. */
 #define RELAY_GROUP_NODES 40
 
-/* What there is to know. */
+/* State whose freshness is checked. */
 enum relay_subject {
-	RELAY_TABLE,   /* the configuration; its mark is the version */
-	RELAY_SERVERS, /* the servers; the mark is servers_mark() */
+	RELAY_TABLE,   /* configuration; its mark is the version */
+	RELAY_SERVERS, /* list of servers; its mark is servers_mark() */
 	RELAY_SUBJECTS
 };
 
-/* What this node knows of one. */
+/* Freshness of one subject on this node. */
 struct relay_known {
-	uint64_t mark; /* names what is in force here */
-	msec proven;   /* it was the newest then; MSEC_NEVER: never */
-	msec asked;    /* the newest read of our own that ended; -1: none */
-	msec look;     /* another node knew otherwise then; -1: none */
-	unsigned int failures; /* of our own reads in a row */
-	msec retry_at;	       /* no read before, after failures */
+	uint64_t mark; /* identifies the local state */
+	msec proven;   /* last confirmed as current; MSEC_NEVER: never */
+	msec asked;    /* start of this node's last finished read; -1: none */
+	msec look;     /* last message with another mark; -1: none */
+	unsigned int failures; /* consecutive failed reads of this node */
+	msec retry_at;	       /* no read before this, after failures */
 };
 
-/* A node that asked us; it is told of changes for a while. */
+/* A node that polls this node; it is notified of changes for a while. */
 struct relay_asker {
 	name_id node;
-	msec at;
-	msec before; /* the question before that one; 0: none */
+	msec at;     /* last query */
+	msec before; /* the query before that one; 0: none */
 };
 
-/* Nodes of which a group's reader is one. */
+/* Candidates for a group's reader. */
 #define RELAY_CANDIDATES 3
 
-/* What a node counts of it. */
 struct relay_counters {
-	uint64_t asked;	 /* questions */
-	uint64_t told;	 /* answers and news heard */
-	uint64_t proofs; /* subjects proven by these */
-	uint64_t news;	 /* changes that our own reads brought */
+	uint64_t asked;	 /* queries sent */
+	uint64_t told;	 /* replies and notifications received */
+	uint64_t proofs; /* confirmations of a subject by these */
+	uint64_t news;	 /* changes found by reads of this node */
 };
 
 struct relay;
 
-/* What the core calls; all must be given. */
+/* Callbacks; all are required. */
 struct relay_ops {
-	/* Send to a node; may be dropped. Must not call back. */
+	/*
+	 * Sends a message to a node; it may be lost. Must not call a function
+	 * of this module.
+	 */
 	void (*send)(struct relay *, name_id, const sp_msg *);
-	/* What is in force of a subject was the newest then. */
+	/* The local state of the subject was current at `then`. */
 	void (*proven)(struct relay *, enum relay_subject, msec then);
-	/* There is news of it: see relay_due(). */
+	/* Another node reported a different mark: see relay_due(). */
 	void (*look)(struct relay *, enum relay_subject, msec);
 	/*
-	 * Our read brought changes of it, and these nodes are about to be told
-	 * so: what is sent to them now spares them a read.
+	 * A read of this node found a change, and these nodes are about to be
+	 * notified. If the change itself is sent to them now, they do not have
+	 * to read it.
 	 */
 	void (*news)(
 	    struct relay *, enum relay_subject, const name_id *, unsigned int);
 };
 
-/* In the embedder's memory. */
+/* State of the module; owned by the caller. */
 struct relay {
 	const struct relay_ops *ops;
 	name_id self;
-	msec every; /* what is known should be no older, in ms */
+	msec every; /* target for the maximum age of a confirmation */
 	struct relay_known known[RELAY_SUBJECTS];
-	name_id reader; /* whom we ask; our own id: nobody, we read */
+	name_id reader; /* node that is polled; `self`: this node reads */
 	name_id candidates[RELAY_CANDIDATES]; /* by weight; 0: none */
-	unsigned int turn;		      /* which of them is asked */
-	msec turned;	   /* since when it is not the first */
-	unsigned int vain; /* questions in a row that proved nothing */
-	bool answered;	   /* the newest question */
-	uint32_t seq;	   /* of the newest question */
-	msec asked;	   /* when it was asked */
+	unsigned int turn;		      /* index of the current one */
+	msec turned;			      /* when `turn` was advanced */
+	unsigned int vain; /* consecutive queries without a recent reply */
+	bool answered;	   /* the last query has a reply */
+	uint32_t seq;	   /* of the last query */
+	msec asked;	   /* when the last query was sent */
 	msec next_ask;
 	struct relay_asker askers[RELAY_GROUP_NODES];
 	struct relay_counters counters;
-	void *arg; /* the embedder's */
+	void *arg; /* for the caller */
 };
 
-/* Knows nothing yet and reads for itself; what it knows is to be no older than
- * ms. */
+/*
+ * Initialises without any confirmed state; the node reads by itself until
+ * relay_set_nodes(). `every`: maximum age of confirmations in ms.
+ */
 void
 relay_init(struct relay *, const struct relay_ops *, name_id self, msec every);
-/* The nodes that take work, ourselves among them when we do. */
+/* Sets the nodes that take work; may include the local node. */
 void relay_set_nodes(struct relay *, const name_id *, unsigned int);
 /*
- * A read of our own, sent at `asked`, came to the end: the mark names what is
- * in force. Those who asked lately are told when it is another than before.
+ * A read of this node, started at `asked`, succeeded; `mark` identifies the
+ * state that is now in use. If it changed, nodes that polled this node recently
+ * are notified.
  */
 void relay_read(
     struct relay *, msec now, enum relay_subject, uint64_t mark, msec asked);
-/* The same, but what was read cannot be put in force. */
+/* A read succeeded, but its result cannot be used. */
 void relay_read_in_vain(struct relay *, enum relay_subject, msec asked);
 /*
- * A read of our own failed. The next one waits, longer each time, and is not
- * made at all while others prove what we know: a platform that is away for
- * some nodes only would be called by these several times a second.
+ * A read of this node failed. The next read is delayed, longer each time, and
+ * is not made while other nodes confirm the local state. Otherwise, nodes that
+ * cannot reach the platform would call it several times a second.
  */
 void relay_read_failed(struct relay *, msec now, enum relay_subject);
-/* How long a read of our own can wait, in ms; 0: it is due. */
+/* Returns the time until the next read of this node, in ms; 0: it is due. */
 msec relay_due(const struct relay *, msec now, enum relay_subject);
 /*
- * What another node passed on is in force as if we had read it; whether it is
- * the newest is not proven by that.
+ * State received from another node is now in use. This does not confirm that
+ * it is current.
  */
 void relay_took(struct relay *, enum relay_subject, uint64_t mark);
 /*
- * What was read before proves nothing any more, whoever read it: all is to be
- * read anew. The marks of what is in force stay until then.
+ * Drops all confirmations, including those from other nodes: everything must
+ * be read again. The marks of the local state are kept until then.
  */
 void relay_forget(struct relay *);
-/* A message of kind SP_RELAY_ASK or SP_RELAY_TELL. */
+/* Handles a message of kind SP_RELAY_ASK or SP_RELAY_TELL. */
 void relay_receive(struct relay *, msec now, name_id from, const sp_msg *);
-/* Ask when it is time; when to call again. */
+/* Sends a query if one is due; returns the time of the next call. */
 msec relay_tick(struct relay *, msec now);
 
 #endif /* RELAY_H */
--- a/server.c
+++ b/server.c
@@ -11,22 +11,25 @@
 #include <xxhash.h>
 
 /*
- * A server that failed several times in a row rests, twice as long each time.
- * One failure in seven requests is ordinary on some services, so a single one
- * says little.
+ * A server that failed this many times in a row is avoided for a time that
+ * doubles with each further failure. On some services one request in seven
+ * fails normally, so a single failure is not enough.
  */
 #define SERVER_FAILURES_MAX 3
 #define SERVER_REST_MS 500
 #define SERVER_REST_MAX_MS (4 * MSEC_SECOND)
-/* What connecting showed of our own path is of use for so long. */
+/* Decay time of the counts in struct server_reach. */
 #define REACH_MS 1000
 /*
- * So many different servers did not answer, and hardly one did: crashes that
- * come together leave others that do.
+ * The node has lost its network access if connections to this many servers
+ * timed out, and timeouts outnumber successes by this factor: if only some
+ * servers crash together, others still respond.
  */
 #define REACH_SERVERS 3
 #define REACH_TIMES 3
-/* Fewer in a second say nothing: a quiet node may just have met lost servers.
+/*
+ * Minimum timeouts: with fewer, a node with few requests may have chosen only
+ * crashed servers.
  */
 #define REACH_MISSES 2
 
@@ -71,7 +74,7 @@
 	return RB_FIND(server_tree, &s->tree, &find);
 }
 
-/* What our requests showed belongs to the process that was there before. */
+/* Clears measurements that belong to the server's previous process. */
 static void
 server_forget(struct server *v)
 {
@@ -100,8 +103,7 @@
 	v->port = e->port;
 	RB_INSERT(server_tree, &s->tree, v);
 	s->count++;
-	log_info_of(
-	    LOG_NODE, v->name, "%s of %s is listed", v->name, e->service);
+	log_info_of(LOG_NODE, v->name, "%s of %s added", v->name, e->service);
 	return v;
 }
 
@@ -117,7 +119,7 @@
 		return;
 	if (v == NULL)
 		v = servers_add(s, now, e, id);
-	/* An older list has the process that was there before. */
+	/* The entry of the previous process, from an older list. */
 	if (now < s->doubted_until && e->born != 0 && e->born < v->born)
 		return;
 	anew = (e->born != 0 && e->born != v->born) ||
@@ -131,7 +133,7 @@
 	v->reclaimable = e->reclaimable;
 	v->missing = false;
 	if (anew) {
-		log_info_of(LOG_NODE, v->name, "%s started anew", v->name);
+		log_info_of(LOG_NODE, v->name, "%s restarted", v->name);
 		server_forget(v);
 		v->starts++;
 		v->new_at = now;
@@ -141,7 +143,7 @@
 		v->listed_again = !e->draining;
 		return;
 	}
-	/* Draining is never taken back by the same process. */
+	/* A process never leaves the draining state. */
 	if (v->state == SERVER_DRAINING && !anew)
 		state = SERVER_DRAINING;
 	if (state == v->state && !anew)
@@ -158,7 +160,7 @@
 {
 	if (v->state == SERVER_GONE)
 		return;
-	log_info_of(LOG_NODE, v->name, "%s is gone", v->name);
+	log_info_of(LOG_NODE, v->name, "%s removed", v->name);
 	v->missing = false;
 	v->state = SERVER_GONE;
 	v->gone_since = now;
@@ -185,7 +187,7 @@
 		server_end(s, v, now);
 		return;
 	}
-	log_info_of(LOG_NODE, v->name, "%s is not listed, held", v->name);
+	log_info_of(LOG_NODE, v->name, "%s not listed, kept for now", v->name);
 	v->missing = true;
 	v->missing_since = now;
 }
@@ -239,11 +241,11 @@
 	return mark;
 }
 
-/* The list had time to lose it again, and has not. */
+/* The server was still listed at the end of servers_doubt(). */
 static void
 server_return(struct servers *s, struct server *v)
 {
-	log_info_of(LOG_NODE, v->name, "%s is back", v->name);
+	log_info_of(LOG_NODE, v->name, "%s added again", v->name);
 	v->listed_again = false;
 	v->state = SERVER_READY;
 	s->ops->changed(s, v);
@@ -284,10 +286,10 @@
 		n = MIN(n - SERVER_FAILURES_MAX, 8);
 		v->resting_until =
 		    now + MIN(SERVER_REST_MS << n, SERVER_REST_MAX_MS);
-		log_debug("%s failed %u times, rests", v->name, v->failures);
+		log_debug("%s failed %u times, avoided", v->name, v->failures);
 		break;
 	case SERVER_DOWN:
-		/* Nobody listens there: one try says it all. */
+		/* Nothing listens at the address: one failure is enough. */
 		v->failures = MAX(v->failures + 1, SERVER_FAILURES_MAX);
 		n = MIN(v->failures - SERVER_FAILURES_MAX, 8);
 		v->resting_until =
@@ -320,7 +322,7 @@
 	return now - MAX(v->heard, sent) >= silence;
 }
 
-/* ---- our own path ---- */
+/* ---- network access of this node ---- */
 
 static void
 reach_age(struct server_reach *r, msec now)
@@ -333,8 +335,8 @@
 }
 
 /*
- * How many different servers did not answer. One that rests since is not asked,
- * and says nothing new for so long.
+ * Number of servers with connection timeouts. A server is avoided for up to
+ * SERVER_REST_MAX_MS after them, so there is no newer result until then.
  */
 static unsigned int
 reach_missed(const struct server_reach *r, msec now)
@@ -346,7 +348,7 @@
 	return count;
 }
 
-/* Its place in the list; else a free one, or that of the oldest. */
+/* Index of the server in the list, or a free one, or that of the oldest. */
 static unsigned int
 reach_place(struct server_reach *r, name_id id)
 {
--- a/server.h
+++ b/server.h
@@ -1,7 +1,7 @@
 /*
- * The backend servers as this node knows them: what the platform says of
- * each, and what our own requests showed. A core without input or output;
- * server-choose.c decides which one gets a request.
+ * The node's table of backend servers: the entries of the platform, and the
+ * load and health measured by the node's own requests. server-choose.c selects
+ * the server of a request. The module does no I/O.
  */
 
 #ifndef SERVER_H
@@ -11,43 +11,42 @@
 #include "server-memory.h"
 #include "server-rate.h"
 
-/* Platforms name their servers as they like; longer names are refused. */
+/* Size limit of names, which platforms choose; longer names are ignored. */
 #define SERVER_NAME_SIZE 128
 #define SERVER_RANKS 10
 
-/* What the platform says of a server. */
 enum server_state {
 	SERVER_READY,
-	SERVER_DRAINING, /* finishes what it has */
+	SERVER_DRAINING, /* finishes its requests, gets no new ones */
 	SERVER_GONE	 /* not listed any more; kept while links are open */
 };
 
-/* What the platform says of one. */
+/* The platform's entry of a server. */
 struct server_entry {
 	const char *name;
 	const char *service;
 	const char *domain;
 	uint32_t address; /* IPv4, host byte order */
 	uint16_t port;
-	unsigned int slots; /* 0: not said */
+	unsigned int slots; /* concurrent requests; 0: not given */
 	bool draining;
-	int64_t born;	  /* when it started, in any unit; 0: not said */
-	bool reclaimable; /* the platform may take it back at any time */
+	int64_t born;	  /* start time in any unit; 0: not given */
+	bool reclaimable; /* the platform may take the VM back at any time */
 };
 
-/* What runs on a server. */
+/* Requests on a server. */
 struct server_load {
 	unsigned int running;
-	uint64_t unread; /* prompt tokens without an answer yet */
+	uint64_t unread; /* prompt tokens of requests without a response */
 	uint64_t unread_by[SERVER_RANKS]; /* the same, by rank */
 };
 
-/* A server: the platform's words, and what our requests showed. */
+/* A server: the platform's entry, and measurements of this node. */
 struct server {
 	RB_ENTRY(server) entry;
 	name_id id;
 	char name[SERVER_NAME_SIZE];
-	uint64_t rank; /* the same on every node, by no order */
+	uint64_t rank; /* pseudorandom, the same on every node */
 	name_id service;
 	char domain[NAME_SIZE];
 	uint32_t address;
@@ -56,202 +55,207 @@
 	enum server_state state;
 	bool reclaimable;
 	int64_t born;
-	unsigned int starts; /* grows with each process under the name */
-	bool missing;	     /* not listed; gone when the hold ends */
+	unsigned int starts; /* restarts of the process under this name */
+	bool missing;	     /* unlisted; SERVER_GONE after servers_hold() */
 	msec missing_since;
 	msec gone_since;
-	bool listed_again;	/* in doubt; see servers_doubt() */
-	struct server_load own; /* of our requests */
-	struct server_load all; /* of all nodes', for a coordinator */
-	/* From our own requests. */
-	unsigned int failures; /* in a row */
-	msec resting_until;    /* the last choice before, after failures */
-	bool down;	       /* nobody has answered there since */
-	msec tried;	       /* while it is down: last chosen */
+	bool listed_again;	/* while SERVER_GONE; see servers_doubt() */
+	struct server_load own; /* requests of this node */
+	struct server_load all; /* of all nodes, as coordinator */
+	/* Measured by the requests of this node. */
+	unsigned int failures; /* consecutive */
+	msec resting_until;    /* chosen last before this, after failures */
+	bool down;	       /* the last result was SERVER_DOWN */
+	msec tried;	       /* last time it was chosen while down */
 	/*
-	 * By rank: when the newest request was sent that the server has begun
-	 * to answer. An older one without an answer was passed over.
+	 * By rank: send time of the newest request whose response has begun.
+	 * An older request without a response was probably lost.
 	 */
 	msec begun_sent[SERVER_RANKS];
-	msec heard;		 /* the newest byte of an answer */
-	double first_ms;	 /* smoothed time to an answer; 0: none yet */
-	unsigned int links;	 /* connections of ours, used and idle */
-	struct server_rate rate; /* that it says it takes */
-	msec new_at;   /* came while all others were known; 0: before */
-	uint64_t told; /* its part of the mark as nodes were told */
+	msec heard;		 /* last byte of a response */
+	double first_ms;	 /* smoothed time to a response; 0: none yet */
+	unsigned int links;	 /* connections of this node, busy and idle */
+	struct server_rate rate; /* rate limit reported by the server */
+	msec new_at; /* added after servers_set_whole(), or restarted; 0: no */
+	uint64_t told; /* server_mark() when last sent to other nodes */
 	char service_name[NAME_SIZE];
-	void *arg; /* the embedder's */
+	void *arg; /* for the caller */
 };
 /* By id. */
 RB_HEAD(server_tree, server);
 int server_compare(struct server *, struct server *);
 RB_PROTOTYPE(server_tree, server, entry, server_compare)
 
-/* Servers that are remembered as not having answered when we connected. */
+/* Number of servers recorded after a connection timeout. */
 #define SERVER_MISSED_MAX 8
 
-/* What connecting shows of our own path to the servers. */
+/* Connection results, which show whether this node has network access. */
 struct server_reach {
-	/* The last that did not answer, each once, and when. */
+	/* The last servers with connection timeouts, each once, and when. */
 	name_id missed[SERVER_MISSED_MAX];
 	msec missed_at[SERVER_MISSED_MAX];
 	unsigned int nmissed;
-	/* Smoothed: how often one did not answer, and how often one did. */
+	/* Decaying counts of timeouts and of successes. */
 	double misses, answers;
 	msec at;
 };
 
 struct servers;
 
-/* What the table calls; both must be given. */
+/* Callbacks; both are required. */
 struct server_ops {
-	/* It drains, is gone, or started anew under its name. */
+	/* The server's state changed, or its process was restarted. */
 	void (*changed)(struct servers *, struct server *);
-	/* Its memory is about to go. */
+	/* The server is about to be freed. */
 	void (*removed)(struct servers *, struct server *);
 };
 
-/* All servers; in the embedder's memory. */
+/* All servers; owned by the caller. */
 struct servers {
 	const struct server_ops *ops;
 	struct server_tree tree;
 	unsigned int count;
-	struct server_memory memory;	 /* by our requests */
-	struct server_memory all_memory; /* by all nodes', for a coordinator */
-	bool whole;			 /* all that there were are known */
-	msec held_until;		 /* no server is taken as gone before */
-	msec remember;			 /* ms that one that is gone is kept */
-	msec doubted_until;		 /* nor as back, once it was gone */
-	struct server_reach reach;	 /* by our requests */
-	void *arg;			 /* the embedder's */
+	struct server_memory memory;	 /* by requests of this node */
+	struct server_memory all_memory; /* of all nodes, as coordinator */
+	bool whole;			 /* the first list is complete */
+	msec held_until;    /* no server becomes SERVER_GONE before */
+	msec remember;	    /* how long SERVER_GONE entries are kept, in ms */
+	msec doubted_until; /* no server leaves SERVER_GONE before */
+	struct server_reach reach;
+	void *arg; /* for the caller */
 };
 
-/* Empty; its end; one by id, or NULL. */
 void servers_init(struct servers *, const struct server_ops *);
 void servers_finish(struct servers *);
+/* Returns a server by its id, or NULL. */
 struct server *servers_find(struct servers *, name_id);
-/* What the platform now says of a server. */
+/* Adds a server or updates it by the platform's current entry. */
 void servers_list(struct servers *, msec, const struct server_entry *);
-/* All that the platform lists is known: what comes from now on is new. */
+/* The first list was read completely: servers added from now on are new. */
 void servers_set_whole(struct servers *);
-/* The platform does not list it any more. */
+/* The platform does not list the server any more. */
 void servers_unlist(struct servers *, msec, const char *name);
 /*
- * Guards against a platform that was away: entries lapse meanwhile although
- * the servers are well, and are back soon after its return. Until the point
- * in time, a server that is not listed stays in use.
+ * Keeps unlisted servers in use until the given time. Guards against a platform
+ * outage: entries expire during it although the servers are healthy, and are
+ * listed again soon after it.
  */
 void servers_hold(struct servers *, msec until);
 /*
- * Guards against a platform that shows an older list again, with entries of
- * servers that have left since: until the point in time, one that we know to
- * be gone stays so, unless it has started anew. Servers that are gone are
- * remembered for so many ms.
+ * Keeps servers in SERVER_GONE until the given time, even if they are listed,
+ * unless their process was restarted. Guards against a platform that returns an
+ * older list with servers that have stopped since. servers_remember() sets for
+ * how many ms SERVER_GONE entries are kept.
  */
 void servers_doubt(struct servers *, msec until);
 void servers_remember(struct servers *, msec);
-/* What the platform says of it, whatever we hold on to or doubt. */
+/* State by the platform's list, without servers_hold() and servers_doubt(). */
 enum server_state server_listed_as(const struct server *);
 /*
- * Names what the platform says of all servers: the same on two nodes that have
- * read the same entries, also while one holds a server that is not listed.
+ * Hash of the platform's list: the same on two nodes that have read the same
+ * entries, also while one of them still uses an unlisted server.
  */
 uint64_t servers_mark(struct servers *);
-/* One server's part of it: the mark is the sum; 0 when it is not listed. */
+/* The server's term of that sum; 0 if it is not listed. */
 uint64_t server_mark(const struct server *);
-/* Do what is due. */
+/* Runs due timers. */
 void servers_tick(struct servers *, msec);
 
-/* How an attempt ended, for what is learned of its server. */
+/* Result of an attempt. */
 enum server_result {
-	SERVER_WELL,   /* it answered */
-	SERVER_FULL,   /* it said that it takes no more now */
-	SERVER_FAILED, /* it broke off, was silent or answered rubbish */
-	SERVER_DOWN,   /* it takes no connection, or another is there */
-	SERVER_UNKNOWN /* our caller left, or we gave up */
+	SERVER_WELL,   /* complete response */
+	SERVER_FULL,   /* refused: the server takes no more requests now */
+	SERVER_FAILED, /* broken off, timed out or malformed response */
+	SERVER_DOWN,   /* no connection, or another server at the address */
+	SERVER_UNKNOWN /* the caller left, or this node gave up */
 };
 void server_learn(struct server *, msec, enum server_result);
-/* It sent a byte of the answer to a request of a rank, sent then. */
+/*
+ * The server sent a byte of the response to a request of this rank; `sent`:
+ * when the request was sent.
+ */
 void server_heard(struct server *, msec, unsigned int rank, msec sent);
 /*
- * Is a request that was sent then, and has no answer, likely never to get
- * one? So it is when younger ones that are no more urgent were begun, or when
- * the server has been silent altogether. A server that is only busy keeps
- * it: sent elsewhere it would be read again, and wait again.
+ * Returns true if the server has probably lost a request without a response:
+ * it has begun to respond to a later request of the same or a less urgent rank,
+ * or it has sent nothing for `silence` ms. A server that is only busy keeps the
+ * request: another server would have to read the prompt again, and the request
+ * would wait again.
  */
 bool server_forgot(
     const struct server *, msec, unsigned int rank, msec sent, msec silence);
-/* One answered: a connection to it stands, or its answer begins. */
+/* A connection to a server was established, or a response began. */
 void servers_reached(struct servers *, msec);
-/* One did not answer in time when we connected. */
+/* A connection attempt timed out. */
 void servers_missed(struct servers *, msec, const struct server *);
 /*
- * Do servers answer us? False when several did not in a short time, and hardly
- * any other did: then it is our own link that is full, or cut.
+ * Returns false if connections to several servers timed out in a short time and
+ * hardly any succeeded: then the network link of this node is congested or
+ * down.
  */
 bool servers_in_reach(struct servers *, msec);
-/* May it get new work? */
+/* Returns true if the server may get new requests. */
 bool server_takes_work(const struct server *, msec);
 
-/* ---- the choice: server-choose.c ---- */
+/* ---- selection of a server: server-choose.c ---- */
 
-/* Servers that a request may avoid. */
+/* Maximum number of servers that a request excludes. */
 #define SERVER_AVOID_MAX 8
 
-/* What a request needs. */
+/* Requirements of a request. */
 struct server_wish {
 	name_id service;
 	name_id route;
-	uint64_t prompt;     /* hash of the shared part; 0: none */
-	unsigned int shared; /* tokens of the shared part */
-	unsigned int own;    /* tokens beside it */
-	msec gap_target;     /* longest pause in time; 0: any */
-	msec target;	     /* to the answer's first event; 0: any */
-	unsigned int rank;   /* 0 is first */
+	uint64_t prompt;     /* hash of the shared prompt prefix; 0: none */
+	unsigned int shared; /* prompt tokens of the shared prefix */
+	unsigned int own;    /* prompt tokens after the prefix */
+	msec gap_target;     /* longest pause between events, ms; 0: any */
+	msec target;	     /* time to the first event, ms; 0: any */
+	unsigned int rank;   /* 0 is most urgent */
 	unsigned int navoid;
-	name_id avoid[SERVER_AVOID_MAX]; /* tried already */
+	name_id avoid[SERVER_AVOID_MAX]; /* servers tried already */
 };
 
-/* From where a choice is made. */
+/* State of the selecting node. */
 struct server_view {
-	bool all;	    /* as coordinator: of all nodes' requests */
-	bool young;	    /* but not for long */
-	const char *domain; /* ours, or "" */
-	bool light;	    /* goes to the quiet servers: server-mix.h */
-	unsigned int quiet; /* how many these are */
-	double hold_ms; /* how long a request is on a server; 0: not known */
+	bool all;	    /* as coordinator: use load of all nodes */
+	bool young;	    /* coordinator for less than 15 s */
+	const char *domain; /* the node's failure domain, or "" */
+	bool light;	    /* use the quiet servers, see server-mix.h */
+	unsigned int quiet; /* number of quiet servers */
+	double hold_ms; /* mean time of a request on a server; 0: not known */
 	unsigned int groups, group; /* of the service's servers; see place.h */
-	unsigned int nodes;	    /* that there are */
+	unsigned int nodes;	    /* number of nodes */
 	msec now;
-	bool urgent; /* no other kind of the service is more urgent */
-	bool began;  /* as coordinator: another may not know yet */
-	bool sole;   /* as coordinator: all nodes ask us */
+	bool urgent; /* no route of the service is more urgent */
+	bool began;  /* the previous coordinator may still be active */
+	bool sole;   /* as coordinator for all nodes */
 };
 
-/* How many servers of a service, in the view's group, take work. */
+/* Number of the service's ready servers in the view's group. */
 unsigned int
 servers_ready(struct servers *, name_id service, const struct server_view *);
-/* The same of those that take as much as they are given. */
+/* The same without servers that are short of their rate limit. */
 unsigned int
 servers_kept(struct servers *, name_id service, const struct server_view *);
-/* Is one there that takes work, of those that a request does not avoid? */
+/* Returns true if a ready server has no rate limit and is not excluded. */
 bool servers_have_another(struct servers *, const struct server_wish *);
-/* The best server for it, or NULL when there is none at all. */
+/* Returns the best server for a request, or NULL if none is available. */
 struct server *server_choose(struct servers *, msec, const struct server_wish *,
     const struct server_view *, uint32_t draw);
 /*
- * Where all ready servers of a service name a rate: until one of them takes
- * another request, in ms; else 0.
+ * If all ready servers of a service have a rate limit: the shortest time until
+ * one of them takes another request, in ms; else 0.
  */
 msec servers_rate_wait(struct servers *, name_id service);
-/* How long it takes to read what it was given up to a rank, in ms. */
+/* Estimated time to read the unread prompts up to a rank, in ms. */
 msec server_reading(const struct server_load *, unsigned int rank);
-/* The same of a view's servers on average; MSEC_NEVER: it has none. */
+/* The average over the view's servers, in ms; MSEC_NEVER: it has none. */
 msec servers_reading(struct servers *, name_id service, unsigned int rank,
     const struct server_view *);
-/* For a server that is new in the table. */
+/* Sets the rank of a new server. */
 void server_set_rank(struct server *);
-/* Its group, of so many. */
+/* Returns the group of a server, less than `groups`. */
 unsigned int server_group(const struct server *, unsigned int groups);
 
 #endif /* SERVER_H */
