--- a/server-choose.c
+++ b/server-choose.c
@@ -1,8 +1,9 @@
 /*
- * Which backend server gets a request. Work that shares a long prompt goes
- * where the prompt was read before: rendezvous hashing (Thaler and
- * Ravishankar, 1998) gives every node the same home for it without a message.
- * A home that has much to read, or fails, loses to the next by cost.
+ * Selects the backend server of a request. Requests that share a long prompt
+ * prefix go to a server that has read it before: rendezvous hashing (Thaler and
+ * Ravishankar, 1998) gives every node the same home server for the prefix
+ * without a message. If the home has many unread tokens or fails, a server with
+ * a lower cost is selected.
  */
 
 #define LOG_PART "choose"
@@ -12,38 +13,38 @@
 
 #include <xxhash.h>
 
-/* Prompt tokens read in a millisecond until a server has shown its own. */
+/* Assumed prefill speed of a server in prompt tokens per millisecond. */
 #define CHOOSE_TOKENS_PER_MS 60.0
 /*
- * Reading a shared part again delays all streams beside it, so it weighs more
- * than its own time.
+ * Weight of reading a shared prefix again: it costs more than its own time, as
+ * it delays all other streams of the server.
  */
 #define CHOOSE_AGAIN_TIMES 10.0
-/* What a server has read is still there so long after its last use. */
+/* How long a server's cache holds a prompt after its last use. */
 #define CHOOSE_KEPT_MS 15000
 /*
- * What one more request on a server costs the others, in milliseconds: 18 for 6
- * is 0.007 of worth more under twice the load (four sites of 9 to 18 servers,
- * 14 seeds each), 0 for 6 is 0.013 less.
+ * Cost of each running request to the others, in milliseconds. Under twice the
+ * load, 18 instead of 6 gains 0.007 of worth (four sites of 9 to 18 servers,
+ * 14 seeds each), and 0 instead of 6 loses 0.013.
  */
 #define CHOOSE_RUNNING_MS 18.0
-/* What a failure in the last requests costs, and a rest. */
+/* Cost of each consecutive failure, and of a server that rests after them. */
 #define CHOOSE_FAILURE_MS 400.0
 #define CHOOSE_REST_MS 20000.0
-/* One request in so long goes to a server that is down, of all nodes'. */
+/* Interval of attempts on a server that is down, for all nodes together. */
 #define CHOOSE_TRY_MS 500
-/* And at least one in so long of each node that decides alone. */
+/* Maximum interval for each node that decides without a coordinator. */
 #define CHOOSE_TRY_MAX_MS (4 * MSEC_SECOND)
-/* What a link to another failure domain costs. */
+/* Cost of a server in another failure domain. */
 #define CHOOSE_DOMAIN_MS 2.0
-/* Quiet servers of one group, at most. */
+/* Maximum number of quiet servers in a group. */
 #define CHOOSE_QUIET_MAX 64
 /*
- * A light request gains by a server with long prompts when its own are so far
- * behind. A long prompt on a server kept for light requests breaks all of
- * them, so it goes there only when it would hardly be served in time
- * elsewhere: under three times the load light requests were worth 0.74 with 8
- * seconds and 0.44 with 0.6 (60 nodes, 90 servers).
+ * Cost of a light request on a server that is not quiet, and of a long prompt
+ * on a quiet server. A long prompt delays all light requests on its server, so
+ * it goes to a quiet one only if it would hardly be served in time elsewhere:
+ * under three times the load light requests were worth 0.74 with 8 seconds and
+ * 0.44 with 0.6 (60 nodes, 90 servers).
  */
 #define CHOOSE_MIX_LIGHT_MS 600.0
 #define CHOOSE_MIX_LONG_MS 8000.0
@@ -75,9 +76,9 @@
 }
 
 /*
- * Jump consistent hash (Lamping and Veach, 2014): with one group more or less,
- * few servers change theirs. By a remainder all would, and every prompt would
- * be read again, each time that some servers crash.
+ * Jump consistent hash (Lamping and Veach, 2014): if the number of groups
+ * changes by one, few servers change their group. With a modulo nearly all
+ * would, and every prompt would be read again whenever some servers crash.
  */
 unsigned int
 server_group(const struct server *v, unsigned int groups)
@@ -105,8 +106,9 @@
 }
 
 /*
- * Can it be kept for a kind of request, or be a prompt's home? Not one that
- * takes hardly any: what belongs there would be strewn over all others.
+ * Returns true if the server may be a quiet server or the home of a prompt. One
+ * that is short of its rate limit may not: it would refuse most of these
+ * requests, and they would spread over all other servers.
  */
 static bool
 choose_keeps(
@@ -154,9 +156,9 @@
 }
 
 /*
- * The first `quiet` servers by rank are quiet: the highest of their ranks, or
- * 0 when there are none. Found once for a choice, since a service may have
- * hundreds of servers.
+ * The first `quiet` servers by rank are quiet. Returns the highest of their
+ * ranks, or 0 if there are none. Computed once per selection, since a service
+ * may have hundreds of servers.
  */
 static uint64_t
 choose_quiet_rank(
@@ -183,7 +185,7 @@
 	return n > 0 ? ranks[n - 1] : 0;
 }
 
-/* The server that is thought of first for a prompt, or NULL. */
+/* Returns the home server of a prompt, or NULL. */
 static const struct server *
 choose_home(struct servers *s, const struct server_wish *w,
     const struct server_view *view, uint64_t quiet_rank)
@@ -208,9 +210,10 @@
 }
 
 /*
- * A coordinator saw all requests, so it knows what a server has read. Another
- * node takes it that a home has read its prompts, by the requests of others,
- * and goes by its own requests beyond that.
+ * Returns true if the server probably holds the prompt in its cache. A
+ * coordinator has counted all requests, so its records are complete. Any other
+ * node assumes that requests of other nodes have brought the prompt to its home
+ * server, and uses the records of its own requests for the other servers.
  */
 static bool
 choose_has(struct servers *s, const struct server *v, msec now,
@@ -222,7 +225,7 @@
 		return true;
 	if (view->all && !view->young)
 		return false;
-	/* A home that has just come has read nothing for others either. */
+	/* A new home server cannot have read the prompt for other nodes. */
 	if (v == home && v->new_at != 0 && now - v->new_at < CHOOSE_KEPT_MS)
 		home = NULL;
 	return v == home || server_memory_has(&s->memory, now, v->id, w->prompt,
@@ -230,8 +233,9 @@
 }
 
 /*
- * A server that runs as many as it has slots begins the next when one ends:
- * with twelve slots that are held for 0.6 s, each further one waits 50 ms.
+ * Estimated wait for a slot, in ms. A server with all slots in use begins the
+ * next request when one ends: with twelve slots that are held for 0.6 s, each
+ * further request waits 50 ms.
  */
 static double
 choose_slot_wait(const struct server *v, const struct server_load *l,
@@ -294,7 +298,7 @@
 	return n > 0 ? sum / n : MSEC_NEVER;
 }
 
-/* By the rate that it names; see server-rate.h. */
+/* Returns true if the server's rate limit allows it; see server-rate.h. */
 static bool
 choose_rate_allows(
     struct server *v, msec now, const struct server_view *view, uint64_t draw)
@@ -308,9 +312,10 @@
 }
 
 /*
- * Guards against requests that all go to a server where nobody is, as it still
- * is listed and the others take no more: another process at its address had to
- * turn away each of them. A node that decides alone leaves room for the others.
+ * Limits attempts on a server that is down. Guards against sending all requests
+ * to a crashed server that is still listed while the others are full: each was
+ * refused by another process at its address. A node that decides without a
+ * coordinator waits longer, as the other nodes try the server too.
  */
 static bool
 choose_tries(const struct server *v, msec now, const struct server_view *view)
--- a/server-limit.c
+++ b/server-limit.c
@@ -1,5 +1,5 @@
 /*
- * What may be ahead of a request; see server-limit.h.
+ * Admission limit; see server-limit.h.
  */
 
 #define LOG_PART "limit"
@@ -8,35 +8,38 @@
 #include <math.h>
 
 /*
- * Parts of the target. With less than the least, prompts are turned away that
- * a server could begin in the next moment; with all of it, they begin late.
+ * Bounds in parts of the target. Below the minimum, requests are refused that a
+ * server could begin at once; at the whole target, requests begin late.
  */
 #define LIMIT_LEAST 0.12
 #define LIMIT_MOST 1.0
-/* Between what suits servers that suffer and what suits those that do not. */
+/*
+ * Initial value: a compromise between servers on which reading a prompt
+ * interrupts the running streams, and servers on which it does not.
+ */
 #define LIMIT_START 0.25
-/* Near is beyond this part of the limit. */
+/* Requests beyond this part of the limit are near it. */
 #define LIMIT_NEAR 0.5
 /*
- * One in so many may be late before fewer are let in: 8 instead of 16 lost
- * 0.02 of worth on servers whose streams suffer (60 nodes, 90 servers, the
- * three worst loads) and gained nothing on those that do not.
+ * One request in this many may be late before the limit falls. 8 instead of 16
+ * lost 0.02 of worth on servers whose streams are interrupted (60 nodes, 90
+ * servers, the three worst loads) and gained nothing on the others.
  */
 #define LIMIT_LATE_ONE_IN 16
 /*
- * For each near the limit that was in time. From least to most in about a
- * hundred: a second of a burst.
+ * Increase for each request near the limit that was in time. About a hundred
+ * of them, one second of a burst, raise it from the minimum to the maximum.
  */
 #define LIMIT_STEP 0.01
 /*
- * What was told is smoothed over so long. Shorter, a node goes for a second by
- * what it was told in one moment: of ten answers 61% were turned away where
- * coordinators did so to 83%.
+ * Smoothing time of the share of refused requests. With a shorter time the
+ * share depends on a few replies: with ten replies, nodes refused 61% where
+ * coordinators refused 83%.
  */
 #define TOLD_SMOOTH_MS 1000.0
 /*
- * What was told is good for so long. A node that is dead is known to be so
- * within a second or two, and the next coordinator answers then.
+ * How long the recorded share is used. A dead node is detected within one or
+ * two seconds, and then the next coordinator replies.
  */
 #define TOLD_FOR_MS (3 * MSEC_SECOND)
 
--- a/server-limit.h
+++ b/server-limit.h
@@ -1,11 +1,12 @@
 /*
- * How much may be read before a request that is let in. Where servers are
- * asked for more than they can do, those that wait in their queues are late,
- * and what is read beside them makes streams pause: some must be turned away
- * so that the others are served in time. How many depends on the servers and
- * on the mix, so it is learned from how those that were let in fared.
+ * Admission limit: how much unread prompt may be ahead of a request that is
+ * admitted, as time to read it. Under overload, requests wait in the servers'
+ * queues until they are late, and reading their prompts interrupts the running
+ * streams. So some requests must be refused for the others to be served in
+ * time. How many depends on the servers and on the traffic, so the limit is
+ * adjusted by whether admitted requests were in time.
  *
- * Without input or output.
+ * The module does no I/O.
  */
 
 #ifndef SERVER_LIMIT_H
@@ -13,43 +14,44 @@
 
 #include "savory.h"
 
-/* Of one service's servers of one sort, as their coordinator learned it. */
+/* A coordinator's limit for the quiet or the other servers of a service. */
 struct server_limit {
-	double part;	/* of the target; 0: nothing was learned yet */
-	uint64_t fared; /* requests that it was learned from */
+	double part;	/* of the target; 0: not adjusted yet */
+	uint64_t fared; /* number of adjustments */
 };
 
-/* Is a request that has so much ahead of it near the limit, both in ms? */
+/* Returns true if `ahead` is near the limit; both in ms. */
 bool server_limit_is_near(msec ahead, msec limit);
 /*
- * One that was let in was late, or served in time; `pressed`: it was near the
- * limit. Only the success of such a one shows that more could be let in: in
- * quiet times all are in time, whatever the limit, and a limit that rose with
- * them would let the whole beginning of a burst in.
+ * Adjusts the limit after an admitted request was late or in time; `pressed`:
+ * it was admitted near the limit. Only such a request in time raises the limit:
+ * at low load all requests are in time whatever the limit is, and a limit
+ * raised by them would admit the whole beginning of a burst.
  */
 void server_limit_learn(struct server_limit *, bool late, bool pressed);
 /*
- * The most that may be ahead of a request, in ms. The more urgent tiers are
- * not turned away for what was learned while a less urgent one can be.
+ * Returns the maximum time that may be ahead of a request, in ms. The adjusted
+ * limit is applied to the least urgent tier only; the more urgent tiers are
+ * limited by the whole target.
  */
 msec server_limit_ms(const struct server_limit *, msec target, bool last_tier);
 
-/* What part of the target that is for the last tier, in percent. */
+/* The limit of the least urgent tier in percent of the target. */
 unsigned int server_limit_percent(const struct server_limit *);
 
-/* What coordinators said lately of one kind of request, to a node that asks. */
+/* Recent replies of coordinators for one route, on the node that asks them. */
 struct server_told {
-	msec at;		 /* the newest; 0: nothing yet */
-	double away;		 /* part that was turned away, smoothed */
-	msec wait, ahead, limit; /* of the newest of these */
+	msec at;		 /* of the last reply; 0: none yet */
+	double away;		 /* share of refused requests, smoothed */
+	msec wait, ahead, limit; /* of the last refused request, in ms */
 };
 
-/* One was told so; `away`: more is ahead than may be. */
+/* Records a reply; `away`: the request was over the limit. */
 void server_told_note(struct server_told *, msec now, bool away, msec wait,
     msec ahead, msec limit);
 /*
- * Is one of which no coordinator says anything turned away? `draw` is even in
- * 0 to 1.
+ * Returns true if a request without a coordinator's reply should be refused.
+ * `draw`: a uniform random number from 0 to 1.
  */
 bool server_told_away(const struct server_told *, msec now, double draw);
 
--- a/server-memory.c
+++ b/server-memory.c
@@ -1,5 +1,5 @@
 /*
- * What servers have read; see server-memory.h.
+ * Prompts that servers have read; see server-memory.h.
  */
 
 #include "server-memory.h"
--- a/server-memory.h
+++ b/server-memory.h
@@ -1,6 +1,7 @@
 /*
- * Which server has read which prompt, as far as our own requests showed: a
- * server keeps what it has read while nothing newer needs the room.
+ * A table of the prompts that each server has read and probably still holds in
+ * its cache, as recorded from requests. (It has nothing to do with the memory
+ * usage of servers.)
  */
 
 #ifndef SERVER_MEMORY_H
@@ -9,13 +10,13 @@
 #include "savory.h"
 
 /*
- * A table of this many places; two prompts that share a place push each other
- * out: of the 2,000 pairs that a group of 20 servers may have under load, one
- * in sixteen.
+ * Number of table entries. Pairs of server and prompt with the same index
+ * overwrite each other: one in sixteen of the 2,000 pairs that a group of 20
+ * servers may have under load.
  */
 #define SERVER_MEMORY_PLACES 16384
 
-/* The table; all zero is empty. */
+/* The table; all zero bytes are an empty one. */
 struct server_memory {
 	struct {
 		uint32_t key;
@@ -23,13 +24,13 @@
 	} places[SERVER_MEMORY_PLACES];
 };
 
-/* The server has read the prompt, or used what it had of it. */
+/* Records that the server has read the prompt, or used its cached copy. */
 void server_memory_note(
     struct server_memory *, msec, name_id server, uint64_t prompt);
-/* It did not, after all. */
+/* Removes the record: the request ended before its prompt was read. */
 void
 server_memory_forget(struct server_memory *, name_id server, uint64_t prompt);
-/* Did it within the last so many ms? */
+/* Returns true if that was recorded within the last `within` ms. */
 bool server_memory_has(const struct server_memory *, msec, name_id server,
     uint64_t prompt, msec within);
 
--- a/server-mix.c
+++ b/server-mix.c
@@ -1,5 +1,5 @@
 /*
- * Parting light requests from long prompts; see server-mix.h.
+ * Separation of light requests from long prompts; see server-mix.h.
  */
 
 #define LOG_PART "mix"
@@ -10,36 +10,37 @@
 /* Weight of the newest request in the smoothed prompt length. */
 #define MIX_ALPHA 0.05
 /*
- * A prompt counts for no more than so many of its kind: one that is stated far
- * too long must not make other kinds look light. True ones are up to 5 times
- * as long as the mean.
+ * A prompt counts as at most this multiple of its route's mean: a wrong, far
+ * too high length must not make other routes light. Real prompts are up to 5
+ * times as long as the mean.
  */
 #define MIX_OUTLIER_TIMES 6
 /*
- * Light: prompts under this part of the longest kind's, on average. With 0.3
- * prompts of a quarter came to the quiet servers and broke the pauses of those
- * with the shortest: 0.24 of worth instead of 0.47 on servers that read 31
- * tokens in a ms (9 servers, twice the load, 7 seeds). Once light, a kind is so
- * until it is clearly not: one that goes to and fro costs 0.05 on a quiet day.
+ * A route is light if its mean prompt is shorter than this part of the longest
+ * route's. With 0.3, routes with a quarter of the longest prompt used the quiet
+ * servers, and streams with the shortest prompts missed their gap targets: 0.24
+ * of worth instead of 0.47 on servers that read 31 tokens per ms (9 servers,
+ * twice the load, 7 seeds). The second value adds hysteresis: a route that
+ * changes back and forth costs 0.05 of worth at low load.
  */
 #define MIX_LIGHT_PART 0.18
 #define MIX_LIGHT_STAYS 0.22
-/* The number in flight is smoothed over so long: bursts come in seconds. */
+/* Smoothing time of the running requests: bursts build up within seconds. */
 #define MIX_BUSY_MS 2000.0
 /*
- * A server left to light requests is planned to run this part of its slots,
- * so that a burst of twice the traffic still fits.
+ * Planned use of a quiet server's slots, so that a burst of twice the traffic
+ * still fits.
  */
 #define MIX_SLOTS_PART 0.4
 /*
- * And no more streams than that, however many slots it has: each light request
- * has a prompt of its own to read, which makes the streams beside it pause.
- * Under twice the load 0.02 of worth with 18 servers of 64 slots, nothing with
- * 9 of them (14 seeds each).
+ * Planned streams of a quiet server at most, however many slots it has: each
+ * light request has a prompt too, and reading it interrupts the other streams.
+ * Under twice the load this gains 0.02 of worth with 18 servers of 64 slots,
+ * and nothing with 9 of them (14 seeds each).
  */
 #define MIX_STREAMS_MAX 16
 #define MIX_SLOTS_DEFAULT 32
-/* At most this part of the servers is left to them. */
+/* Maximum part of the servers that are quiet. */
 #define MIX_SERVERS_PART 0.34
 
 static struct mix_route *
@@ -54,7 +55,7 @@
 	return NULL;
 }
 
-/* Bring the smoothed number in flight up to now. */
+/* Updates the smoothed number of running requests. */
 static void
 mix_settle(struct mix_route *r, msec now)
 {
@@ -73,7 +74,7 @@
 	if (r->gap_target == 0)
 		return false;
 	for (i = 0; i < m->nroutes; i++) {
-		/* Others that mind pauses as much have the same claim. */
+		/* Routes with the same or a lower target are not compared. */
 		if (m->routes[i].gap_target > r->gap_target)
 			longest = MAX(longest, m->routes[i].prompt_tokens);
 	}
--- a/server-mix.h
+++ b/server-mix.h
@@ -1,9 +1,10 @@
 /*
- * Which servers of a service are kept free of long prompts. While a server
- * reads a long prompt, every stream on it gets its tokens in the pauses
- * between two pieces of the prompt; streams with short prompts and little
- * patience then miss their pauses, and they are the most. A few servers, the
- * same for every node without a message, are left to them.
+ * Statistics of a service's traffic by route, and the number of its servers
+ * that are reserved for light requests (quiet servers). While a server reads a
+ * long prompt, its streams get tokens only between two chunks of that prompt.
+ * Streams with short prompts and a low gap target then miss that target, and
+ * they are the majority. So long prompts avoid a few servers, which all nodes
+ * select alike without a message (see server-choose.c).
  */
 
 #ifndef SERVER_MIX_H
@@ -12,69 +13,70 @@
 #include "savory.h"
 #include "server-limit.h"
 
-/* Routes of a service beyond these are not light. */
+/* Maximum routes per service; further routes are ignored and never light. */
 #define MIX_ROUTES_MAX 32
 
-/* What one kind of request of a service was like, here. */
+/* Statistics of a route's requests. */
 struct mix_route {
 	name_id id;
-	msec gap_target;      /* 0: it does not mind pauses */
+	msec gap_target;      /* longest pause of a stream, ms; 0: any */
 	unsigned int rank;    /* the highest seen; 0 is most urgent */
-	double prompt_tokens; /* smoothed */
-	bool light;	      /* short beside the others' */
-	unsigned int running; /* on its servers now */
-	double busy;	      /* running, smoothed over time */
+	double prompt_tokens; /* mean, smoothed */
+	bool light;	      /* low gap target and short prompts */
+	unsigned int running; /* on servers now */
+	double busy;	      /* `running` smoothed over time */
 	msec busy_at;
-	struct server_told told; /* by coordinators */
+	struct server_told told; /* replies of coordinators */
 };
 
-/* One service's. */
+/* Statistics of a service. */
 struct mix {
 	RB_ENTRY(mix) entry;
 	name_id service;
-	unsigned int servers_most; /* that it may get; 0: not said */
+	unsigned int servers_most; /* configured maximum; 0: none */
 	unsigned int nroutes;
 	struct mix_route routes[MIX_ROUTES_MAX];
-	double hold_ms; /* smoothed, how long one is on its server; 0: none */
-	/* In all: requests, their tokens to read, and of the first tier. */
+	double hold_ms; /* smoothed time of a request on a server; 0: none */
+	/* Totals: requests, unread prompt tokens, those of the first tier. */
 	unsigned int requests;
 	uint64_t tokens, urgent_tokens;
-	/* Of the servers left to light requests, and of the others. */
+	/* Admission limits of the quiet servers and of the others. */
 	struct server_limit limit_light, limit;
 };
 
-/* A request of a route with so many prompt tokens has come; is it the first? */
+/* Records a request; returns true if it is the first of its route. */
 bool mix_request(struct mix *, msec, name_id route, msec gap_target,
     unsigned int rank, unsigned int tokens);
 /*
- * One of them is sent to a server, or has left it. False for a route that was
- * never seen: it is not counted, and must not be counted off.
+ * A request was sent to a server, or has left it. mix_started() returns false
+ * for an unknown route: the request is not counted, and mix_ended() must not be
+ * called for it.
  */
 bool mix_started(struct mix *, msec, name_id route);
 void mix_ended(struct mix *, msec, name_id route);
-/* So many have been running for a while, though the route is new here. */
+/* Adds requests of a new route that were running before it was known. */
 void mix_adopt(struct mix *, msec, name_id route, unsigned int running);
-/* One that was answered had been on its server for so long. */
+/* Records the time in ms that an answered request was on its server. */
 void mix_held(struct mix *, msec);
 /*
- * Is it a route of short prompts that minds pauses, beside longer ones? One
- * that was never seen is not.
+ * Returns true if the route has a gap target and its prompts are much shorter
+ * than those of a route with a higher gap target; false if it is unknown.
  */
 bool mix_is_light(const struct mix *, name_id route);
-/* What coordinators said of a route, or NULL: it was never seen. */
+/* Replies of coordinators for a route; NULL if it is unknown. */
 struct server_told *mix_told(struct mix *, name_id route);
-/* Is none of the service's routes less urgent, or more? */
+/* Returns true if no route of the service is less urgent, or more urgent. */
 bool mix_is_last_tier(const struct mix *, name_id route);
 bool mix_is_first_tier(const struct mix *, name_id route);
-/* Has it a kind that is more urgent than a rank? */
+/* Returns true if a route of the service is more urgent than the rank. */
 bool mix_has_more_urgent(const struct mix *, unsigned int rank);
-/* One of a route came, with so many tokens that its server has not read. */
+/* Adds a request and its unread prompt tokens to the totals. */
 void mix_demand(struct mix *, name_id route, unsigned int tokens);
-/* How many of its requests run. */
+/* Number of running requests of the service. */
 unsigned int mix_running(const struct mix *);
 /*
- * How many of the service's servers are left to light requests, when so many
- * nodes see the same traffic: 0 while there is nothing to part.
+ * Returns how many of the service's servers to reserve for light requests, if
+ * `nodes` nodes have the same traffic; 0 if no light requests are running.
  */
 unsigned int mix_quiet_servers(struct mix *, msec, unsigned int nodes,
     unsigned int servers, unsigned int slots);
--- a/server-rate.c
+++ b/server-rate.c
@@ -1,22 +1,29 @@
 /*
- * The rate of requests that a server names; see server-rate.h.
+ * Rate limit of a server; see server-rate.h.
  */
 
 #include "server-rate.h"
 
-/* A bucket holds what the rate brings in so long, and two requests at least. */
+/* Size of the token bucket: the tokens of this time, and at least two. */
 #define RATE_HOLDS_MS 200
 #define RATE_HOLDS_LEAST 2
-/* Less urgent requests leave one, but for this part of them. */
+/* Part of the less urgent requests that may take the last token. */
 #define RATE_LESS_URGENT_PART 0.25
-/* Requests that a coordinator hears of afterwards are made up for, so many. */
+/*
+ * Maximum negative tokens, by requests that were sent without asking the
+ * coordinator and reported to it afterwards.
+ */
 #define RATE_DEBT 2
+/* Part of the rate that a young coordinator uses. */
 #define RATE_YOUNG_PART 0.5
-/* It is short of what it is given for so long after the last that was not. */
+/* How long a server is short of its limit after the last refused request. */
 #define RATE_SHORT_MS (3 * MSEC_SECOND)
-/* Part of the rate that all nodes share which decide alone. */
+/* Part of the rate for all nodes that decide without a coordinator. */
 #define RATE_ALONE_PART 0.5
-/* Not asked for so long, a node was not alone meanwhile. */
+/*
+ * A longer time between two calls of server_rate_alone() means that the node
+ * had a coordinator meanwhile.
+ */
 #define RATE_ALONE_GAP_MS (2 * MSEC_SECOND)
 
 void
@@ -94,8 +101,8 @@
 }
 
 /*
- * By chance, and nothing is saved up: what many nodes have saved would come at
- * once.
+ * Random, and unused shares are not saved: the saved shares of many nodes could
+ * be used at the same time.
  */
 bool
 server_rate_alone(
--- a/server-rate.h
+++ b/server-rate.h
@@ -1,15 +1,16 @@
 /*
- * How many requests a second a backend server takes from all nodes together,
- * when it says so. A server in need names a rate in its answers, and stops to
- * name it when it has recovered.
+ * Rate limit of a backend server: how many requests per second it accepts from
+ * all nodes together. An overloaded server sends a limit in its responses, and
+ * stops sending it when it has recovered.
  *
- * The coordinator of the server's group counts, as it hears of all requests
- * for it: a token bucket that is empty at first, as a new coordinator does not
- * know what the one before gave away. A node that has to decide by itself
- * keeps to its part of half the rate, by chance. So the sum is the rate and a
- * half at the most, on average, and what a bucket holds.
+ * The coordinator of the server's group enforces the limit, as it counts all
+ * requests for the server. It uses a token bucket that is empty at first, since
+ * a new coordinator does not know the requests allowed by the previous one. A
+ * node that decides without a coordinator allows its share of half the rate, at
+ * random. So all nodes together send at most one and a half times the rate on
+ * average, plus the size of a bucket.
  *
- * A core without input or output.
+ * The module does no I/O.
  */
 
 #ifndef SERVER_RATE_H
@@ -17,49 +18,55 @@
 
 #include "savory.h"
 
-/* Requests a second below which nothing would ever show that it has ended. */
+/*
+ * Minimum in requests per second: the end of a limit is seen only in responses,
+ * so some requests must be sent.
+ */
 #define SERVER_RATE_LEAST 0.1
-/* More than any server takes. */
+/* Limits from this value on are rejected as invalid. */
 #define SERVER_RATE_MOST 1e12
 
-/* What is known of one server's. */
+/* Rate limit of a server. */
 struct server_rate {
-	double per_s; /* 0: it names none */
-	msec heard;   /* the newest answer that says so; MSEC_NEVER: none yet */
-	msec since;   /* it names one, the first or another */
-	uint64_t sent; /* requests of this node since */
-	bool odd;      /* it has named one that cannot be read */
-	/* As coordinator. */
+	double per_s; /* requests per second; 0: no limit */
+	msec heard;   /* time of the last response used; MSEC_NEVER: none yet */
+	msec since;   /* last change of per_s */
+	uint64_t sent; /* requests of this node since then */
+	bool odd;      /* the server has sent an unreadable limit */
+	/* As coordinator: token bucket. */
 	double tokens;
 	msec filled;
-	msec refused; /* the newest request that it did not take; 0: none */
-	/* While deciding alone. */
-	msec asked;
+	msec refused; /* the last request without a token; 0: none */
+	/* Without a coordinator. */
+	msec asked; /* last call of server_rate_alone() */
 };
 
-/* A new process: it has named none. */
+/* Clears the limit, as for a new process of the server. */
 void server_rate_reset(struct server_rate *);
 /*
- * An answer that came then names a rate; 0: none. False when nothing changes,
- * as with an answer that another has overtaken.
+ * Sets the limit from a response received at `then`; 0: no limit. Returns false
+ * if nothing changes, also for a response older than the last one used.
  */
 bool server_rate_hear(struct server_rate *, msec now, msec then, double per_s);
 /*
- * As coordinator: may a request go there now? A young coordinator gives half
- * of the rate, as another may not know yet. Most requests that are less urgent
- * than others leave one for these, by a draw from 0 to 1; the rest see to it
- * that no kind gets nothing.
+ * As coordinator: returns true if a request may be sent now. A young
+ * coordinator uses half the rate, as the previous one may still be active. Most
+ * less urgent requests (chosen by `draw`, uniform from 0 to 1) leave one token
+ * for urgent ones; the others do not, so that no route is starved.
  */
 bool server_rate_allows(
     struct server_rate *, msec, bool young, bool urgent, double draw);
-/* As coordinator: does it take less than it would be given? */
+/* As coordinator: returns true if the limit refused a request recently. */
 bool server_rate_is_short(const struct server_rate *, msec);
-/* As coordinator: one goes there. */
+/* As coordinator: takes a token for a request that is sent. */
 void server_rate_take(struct server_rate *, msec);
-/* Alone, as one of so many nodes: may one go there? By a draw from 0 to 1. */
+/*
+ * Without a coordinator: returns true if this node, one of `nodes`, may send a
+ * request now. `draw`: uniform from 0 to 1.
+ */
 bool
 server_rate_alone(struct server_rate *, msec, unsigned int nodes, double draw);
-/* Until a coordinator would allow one more, in ms, by the rate alone. */
+/* Mean time between two requests at this rate, in ms; 0: no limit. */
 msec server_rate_wait(const struct server_rate *);
 
 #endif /* SERVER_RATE_H */
