--- a/entry-query.c
+++ b/entry-query.c
@@ -1,21 +1,28 @@
 /*
- * The small listeners: is this node ready, and which nodes should a caller
- * use. A caller is sent to nodes of its own failure domain while two of them
- * take work, so that one that fails leaves it another.
+ * Readiness and directory listeners: whether this node is ready, and which
+ * nodes a caller should use. The directory names only nodes of the caller's
+ * failure domain while at least two of them take work, so that the caller has
+ * an alternative when one fails.
  */
 
 #define LOG_PART "query"
 #include "entry.h"
 
-/* Most that an answer names, and fewest of the caller's failure domain. */
+/*
+ * Maximum number of nodes in an answer, and minimum number of nodes in the
+ * caller's failure domain for an answer with only these.
+ */
 #define QUERY_NODES_MAX 64
 #define QUERY_DOMAIN_LEAST 2
 /*
- * How long callers keep an answer. Some keep it three times as long, so a
- * node that stops is left alone after thrice this.
+ * How long callers may cache an answer. Some cache it three times as long, so
+ * callers stop using a stopping node after three times this value.
  */
 #define QUERY_LIFE_MS 1000
-/* One that leaves takes callers for so long, if it can finish them. */
+/*
+ * A stopping node accepts new callers for so long, if it has time to finish
+ * their requests.
+ */
 #define QUERY_LEAVING_MS 3000
 
 static void query_request(struct caller *, msec);
@@ -29,7 +36,7 @@
 {
 }
 
-/* A load of 1,000 says that the node takes no work now. */
+/* A node reports a load of 1,000 permille when it takes no work. */
 static bool
 member_takes_work(const struct member *m)
 {
@@ -53,7 +60,7 @@
 	}
 }
 
-/* A random part of them, the same for none two answers. */
+/* Keep a random subset, drawn anew for each answer. */
 static void
 query_shorten(struct entry *e, GPtrArray *nodes)
 {
@@ -66,8 +73,8 @@
 }
 
 /*
- * When nobody takes work, as while the platform is away for all, those that
- * live are named all the same: what needs no key is still served there.
+ * When no node takes work, as while the platform is unreachable for all, name
+ * all live nodes: they still serve routes that need no API key.
  */
 static void
 query_collect_any(struct entry *e, GPtrArray *nodes)
@@ -83,9 +90,10 @@
 }
 
 /*
- * When all leave, as when a whole small fleet is restarted, those that began to
- * leave a moment ago are named: they take callers for as long as that. Without
- * it every second look-up failed, and callers without an address went unserved.
+ * When all nodes are stopping, as when a small fleet is restarted, name those
+ * that began to stop less than QUERY_LEAVING_MS ago: they still accept callers.
+ * Without this, every second look-up failed and callers without an address were
+ * not served.
  */
 static void
 query_collect_leaving(struct entry *e, GPtrArray *nodes, msec now)
--- a/entry-rate.c
+++ b/entry-rate.c
@@ -1,6 +1,6 @@
 /*
- * What backend servers say of the rate of requests that they take, as this
- * node hears it in their answers; see server-rate.h.
+ * Rate limits that backend servers report in the headers of their answers, as
+ * received by this node; server-rate.h applies them.
  */
 
 #define LOG_PART "rate"
@@ -27,7 +27,7 @@
 	rate_log(e, v, text, sent, now);
 }
 
-/* One line for each process, however often it says so. */
+/* Log an unreadable rate once for each process of the server. */
 static void
 rate_odd(struct entry *e, struct server *v, msec now)
 {
@@ -46,7 +46,10 @@
 	struct wire_answer a;
 
 	e->wire->answer(h, k->job->request.id, &a);
-	/* Of another process, or of nobody that we know. */
+	/*
+	 * Ignore answers of another server (421) or of an earlier process, to
+	 * another request, or neither signed nor marked as not executed.
+	 */
 	if (h->status == 421 || k->starts != v->starts || a.other ||
 	    (!a.genuine && !a.not_executed))
 		return;
--- a/entry-relay.c
+++ b/entry-relay.c
@@ -1,31 +1,38 @@
 /*
- * What other nodes know of the newest state, and what they hear from us: the
- * node's side of relay.c. Decides when the source is to be read.
+ * The entry VM's side of relay.c, which shares reads of the platform among the
+ * nodes: passes changes of the server list to the nodes that poll this one,
+ * applies those that this node receives, and decides when this node reads the
+ * platform itself.
  */
 
 #define LOG_PART "relay"
 #include "entry.h"
 
 /*
- * A proof is dated by the asking, so reading at once and often keeps it
- * younger than long waits for news do, with the same number of calls. What is
- * known is kept younger than these parts of the bounds on keys and on changes:
- * a node whose reader fell silent reads by itself at one and a half times that.
+ * A proof that the state is the newest is dated by the time at which the read
+ * was sent. Frequent short reads thus keep it younger than long polls do, with
+ * the same number of calls. The maximum age of the state is these percentages
+ * of the bounds on revoked keys and on configuration changes: a node whose
+ * reader stops answering reads the platform itself at 1.5 times that age.
  */
 #define RELAY_KEYS_PERCENT 25
 #define RELAY_CHANGE_PERCENT 45
 #define RELAY_MOST_MS 1000
 
-/* Servers in one message: as long names as there may be still fit. */
+/* Servers in one message: fits a datagram even with names of maximum length. */
 #define RELAY_SERVERS_EACH 4
-/* More that change together are cheaper read by each node than sent to each. */
+/*
+ * When more servers change at once, it is cheaper for each node to read the
+ * list than to be sent the changes.
+ */
 #define RELAY_SERVERS_NEWS 32
-/* Between two reads of servers that nobody needs yet. */
+/* Interval between reads of the server list before a configuration exists. */
 #define RELAY_UNUSED_MS 5000
 /*
- * Nodes tell each other of nodes. The list joins parts of the fleet that have
- * lost each other, for which it is enough that one node of a part reads it;
- * the others' reads are for a fleet whose readers cannot.
+ * Intervals between reads of the node list, for readers and for other nodes.
+ * Nodes learn of each other by gossip; the list is needed only to rejoin parts
+ * of a partitioned fleet, for which one reader in each part is enough. The
+ * other nodes read it too, in case the readers cannot reach the platform.
  */
 #define RELAY_NODES_MS 15000
 #define RELAY_NODES_OTHERS_MS 120000
@@ -61,7 +68,7 @@
 	e->source->ops->read(e->source, s);
 }
 
-/* ---- changes of servers, passed on ---- */
+/* ---- changes of the server list, passed between nodes ---- */
 
 static void
 server_encode(sp_server *m, const struct server *v)
@@ -87,7 +94,7 @@
 		entry_relay_send(r, to[i], msg);
 }
 
-/* How many have changed since nodes were told. */
+/* Number of servers that changed since the last message about them. */
 static unsigned int
 servers_untold(struct servers *all)
 {
@@ -100,10 +107,10 @@
 }
 
 /*
- * Guards against a read of the platform by every node for each server that
- * comes or goes. Each message stands for itself: it says which state of all
- * servers it follows, so that one that is late, or whose forerunner was lost,
- * changes nothing and the node reads by itself.
+ * Sends changed servers to the nodes that poll this one, so that not every node
+ * reads the platform for each server that is added or removed. Each message
+ * names the state of the whole list that it applies to. If it arrives late, or
+ * an earlier one was lost, the receiver ignores it and reads the platform.
  */
 static void
 entry_relay_news(
@@ -214,7 +221,10 @@
 {
 	if (entry_start_waits(e))
 		entry_start_hold_proof(e, asked);
-	/* Nobody has published one yet, or the newest may be lost. */
+	/*
+	 * No configuration has been published yet, or the store may have lost
+	 * the newest one.
+	 */
 	if (e->table == NULL || !entry_era_proves(e, asked)) {
 		relay_read_in_vain(&e->relay, RELAY_TABLE, asked);
 		return;
@@ -245,7 +255,7 @@
 		entry_table_ask(e, now);
 }
 
-/* Until there is a configuration nobody is served, and no server used. */
+/* Servers are not used before there is a configuration. */
 msec
 entry_read_due(const struct entry *e, enum relay_subject s, msec now)
 {
@@ -271,7 +281,6 @@
 	loop_timer_set(&e->loop, t, relay_tick(&e->relay, now));
 }
 
-/* The bounds of the settings are in force from now on. */
 void
 entry_relay_apply(struct entry *e)
 {
--- a/entry-reply.c
+++ b/entry-reply.c
@@ -1,8 +1,9 @@
 /*
- * What of a backend server's answer goes to the caller, and when. A stream
- * goes out event by event, so that it breaks only between two events and
- * another server can go on after the last. Anything else is held until it is
- * whole, as far as it is small, so that a broken one can be had again.
+ * Forwards a backend server's answer to the caller. A stream is forwarded in
+ * whole events, so that it can break only between two events and another server
+ * can resume it after the last one. Any other answer is buffered until it is
+ * complete, up to a size limit, so that the request can be retried if the
+ * answer breaks off.
  */
 
 #define LOG_PART "reply"
@@ -11,9 +12,9 @@
 #include <stdlib.h>
 #include <string.h>
 
-/* Larger answers go out as they come. */
+/* Larger answers are forwarded as they arrive. */
 #define REPLY_HOLD_MAX (256 * 1024)
-/* An event that does not end is an error of the server. */
+/* A longer event is taken as an error of the server. */
 #define REPLY_EVENT_MAX (256 * 1024)
 
 enum reply_verdict
@@ -26,8 +27,11 @@
 		return REPLY_STRAY;
 	if (a.not_executed)
 		return REPLY_REJECTED;
-	/* These would tell our caller that nothing ran, and nobody promised
-	 * it to us. */
+	/*
+	 * To the caller these statuses mean that nothing ran, which this answer
+	 * does not confirm. 421 comes from another server that has the address
+	 * now, so the request did not run.
+	 */
 	if (h->status == 429 || h->status == 503 || h->status == 408 ||
 	    h->status == 421)
 		return h->status == 421 ? REPLY_REJECTED : REPLY_RUBBISH;
@@ -69,7 +73,7 @@
 		buffer_finish(&j->fields);
 }
 
-/* The caller of a node that is leaving is to connect elsewhere. */
+/* A stopping node closes its connections, so that callers use other nodes. */
 static bool
 reply_keeps(const struct job *j)
 {
@@ -120,7 +124,7 @@
 		link_pause(j->link, caller_backlog(j->caller) > CALLER_HIGH);
 }
 
-/* The number in an event's line "id: N"; false when it has none. */
+/* Parse the number in an event's line "id: N"; false without such a line. */
 static bool
 event_number(const char *event, size_t n, uint64_t *number)
 {
@@ -139,7 +143,7 @@
 	return false;
 }
 
-/* The length of the first whole event, with the empty line that ends it. */
+/* Length of the first whole event with its final empty line; 0: none. */
 static size_t
 event_length(const char *bytes, size_t n)
 {
@@ -156,9 +160,9 @@
 }
 
 /*
- * Guards against pieces of two runs joined with a gap or twice the same: a
- * stream that another server goes on with begins at the event after the last
- * that our caller has.
+ * Check an event's number: a stream that another server resumes must continue
+ * with the event after the last one that the caller was sent, without gaps or
+ * repeated events.
  */
 static bool
 reply_event(struct job *j, const char *event, size_t n)
@@ -231,8 +235,9 @@
 	}
 	buffer_finish(&j->held);
 	/*
-	 * Not by what holds now: a caller that was not told sends its next
-	 * request here, which would be read and thrown away.
+	 * Use what the head announced, not the current phase: a caller that got
+	 * no "Connection: close" sends its next request on this connection,
+	 * where it would be read and discarded.
 	 */
 	caller_ended(c, now, j->keeps);
 	return true;
--- a/entry-stop.c
+++ b/entry-stop.c
@@ -1,22 +1,24 @@
 /*
- * A planned stop of an entry VM: what it still takes, when it ends.
+ * Planned stop of an entry VM: which requests it still accepts, and when the
+ * process ends.
  */
 
 #define LOG_PART "stop"
 #include "entry.h"
 
 /*
- * Callers keep our address for up to three seconds, and are served until then
- * if there is time for them; after that, once nothing is in flight and nobody
- * came for a while, idle connections are closed and the process ends. Before
- * the platform kills us, what is left is told so.
+ * Callers cache this node's address for up to three seconds, and are served
+ * until then if their requests can be finished. After that, once no request is
+ * in flight and none has arrived for a while, idle connections are closed and
+ * the process ends. Requests that are left shortly before the platform kills
+ * the process are answered with an error.
  */
 #define STOP_CALLERS_MS 3000
 #define STOP_LEAST_MS (STOP_CALLERS_MS + 500)
 #define STOP_QUIET_MS 400
 #define STOP_MARGIN_MS 500
 #define STOP_DEFAULT_MS 8000
-/* After a VM stood still: what is under way gets so long from its waking. */
+/* Minimum time for requests in flight after a paused VM resumes. */
 #define STOP_AWAKE_MS 1000
 
 void
@@ -28,8 +30,9 @@
 	    LOG_NUMBER(LOG_KEY_REQUESTS, e->njobs));
 	e->phase = ENTRY_LEAVING;
 	/*
-	 * Guards against a stop that takes longer than the platform allows: the
-	 * signal may have waited while the whole VM stood still.
+	 * Count the time from before the wait for events: the signal may have
+	 * been pending while the VM was paused, and the stop must not take
+	 * longer than the platform allows.
 	 */
 	e->leaving_since = e->loop.before;
 	e->leaving_read = now;
@@ -39,7 +42,7 @@
 	net_flush(&e->net);
 }
 
-/* The point at which what is left is cut. */
+/* When requests that are still in flight are ended. */
 static msec
 stop_end(const struct entry *e)
 {
@@ -51,12 +54,13 @@
 }
 
 /*
- * How long a request may take that begins now. Once callers should be gone,
- * nothing excuses an answer that breaks off, so one that comes all the same is
- * taken only if its whole time ends before us. With thirty of sixty nodes
- * leaving at once, so that callers had nobody else to go to, one in a hundred
- * of the answers begun so late broke off by what its kind hardly ever exceeds,
- * one in four hundred by twice as many deviations.
+ * Time to allow for a request that starts now, in ms; `most` is the time until
+ * its deadline. While callers may still use this node's cached address, it is
+ * what requests of the route hardly ever exceed. Later requests are accepted
+ * only if their whole deadline fits: with the estimate, and thirty of sixty
+ * nodes stopping at once so that callers had nowhere else to go, one in a
+ * hundred of these late answers was cut off, and one in four hundred with twice
+ * as many deviations.
  */
 static msec
 stop_needs(
@@ -68,11 +72,9 @@
 }
 
 /*
- * Guards against answers that break off when we end: a request that comes
- * seconds after the stop began was taken like any other, and one in two hundred
- * of those was cut. What its kind hardly ever takes longer than must fit before
- * our end; a caller who is told at once that nothing ran can go to another
- * node.
+ * Rejects requests during a stop that might not finish before the process ends:
+ * of those accepted seconds after the stop began, one in two hundred was cut
+ * off. A caller that learns at once that nothing ran can use another node.
  */
 bool
 entry_stop_leaves_time(struct entry *e, struct job *j, msec now)
@@ -104,8 +106,9 @@
 		return;
 	entry_duty_leave(e, now);
 	/*
-	 * The signal may as well have come at the end of a long pause, with all
-	 * of the stop's time left: what is under way is not cut on waking.
+	 * After a pause of the VM it is unknown when the signal arrived. If it
+	 * arrived at the end of the pause, the platform still allows the whole
+	 * time, so requests in flight are not cut off at once.
 	 */
 	if (now >= stop_end(e) && now - e->leaving_read >= STOP_AWAKE_MS) {
 		job_cut_all(e, now);
--- a/entry-table.c
+++ b/entry-table.c
@@ -1,7 +1,7 @@
 /*
- * The configuration, passed on from node to node; see entry-table.h. A text
- * goes in parts of a datagram each, which may overtake each other. What is lost
- * is asked for again with the next read that fails.
+ * Transfer of the configuration between nodes; see entry-table.h. The text is
+ * split into parts of one datagram each, which may arrive out of order. Lost
+ * parts are requested again after the next failed read of the platform.
  */
 
 #define LOG_PART "table"
@@ -9,7 +9,7 @@
 
 #include <string.h>
 
-/* A longer text, of more parts than a word has bits, is not handed on. */
+/* Longer texts are not transferred: the part mask has 64 bits. */
 #define TABLE_TEXT_MAX (64 * SAVORY_TABLE_PART_MAX)
 
 void
@@ -33,7 +33,10 @@
 	g_byte_array_set_size(t->text, 0);
 }
 
-/* Another node has told us of another configuration than ours. */
+/*
+ * Has another node reported a different configuration since this node's last
+ * complete read?
+ */
 static bool
 table_is_behind(const struct entry *e)
 {
@@ -55,8 +58,11 @@
 	ask->have = e->table->version;
 	ask->want = t->version;
 	ask->parts = t->parts;
-	log_debug("asks %s for the configuration", m->name);
-	/* In a datagram of its own: nodes of before do not know the kind. */
+	log_debug("requesting the configuration from %s", m->name);
+	/*
+	 * In a datagram of its own: older versions of the program reject a
+	 * batch with this message kind.
+	 */
 	net_flush(&e->net);
 	net_send(&e->net, m->address, m->peer_port, &msg);
 	net_flush(&e->net);
@@ -68,7 +74,7 @@
 	return MIN(total - part * SAVORY_TABLE_PART_MAX, SAVORY_TABLE_PART_MAX);
 }
 
-/* Of a text that may be handed on, and as long as its place says. */
+/* Is the text short enough, and the part as long as its index requires? */
 static bool
 part_is_valid(const sp_table_part *p)
 {
@@ -116,7 +122,10 @@
 	}
 }
 
-/* In force as if we had read it; that it is the newest others prove. */
+/*
+ * Put the received configuration in force. It does not count as proof that it
+ * is the newest one: that comes from the reader's answers (relay.h).
+ */
 static void
 table_take_whole(struct entry *e, msec now)
 {
@@ -176,6 +185,7 @@
 		table_take_part(e, &msg->sp_msg_u.table_part, now);
 		return;
 	}
-	log_debug("a configuration that nobody asked for is dropped");
+	log_debug("dropped a configuration part from a node other than the "
+		  "reader");
 	e->handed.dropped++;
 }
--- a/entry-table.h
+++ b/entry-table.h
@@ -1,7 +1,8 @@
 /*
- * A configuration from another node, for one that the platform turns away: it
- * hears from its reader that there is another than its own, and could not go on
- * to serve callers with a key before the platform takes it again.
+ * Transfer of the configuration (struct route_table) between nodes. A node that
+ * the platform refuses learns from its reader, the node that it polls, that a
+ * configuration other than its own is in force. Without the transfer it could
+ * not serve callers with an API key until the platform accepts it again.
  */
 
 #ifndef ENTRY_TABLE_H
@@ -12,20 +13,23 @@
 
 struct entry;
 
-/* What has come of a text so far. */
+/* A configuration's text as received so far. */
 struct entry_table {
 	uint64_t version; /* 0: none */
 	uint32_t total;	  /* bytes of the whole text */
-	GByteArray *text; /* as long, with gaps */
-	uint64_t parts;	  /* a bit for each that has come */
-	uint64_t taken, dropped;
+	GByteArray *text; /* `total` bytes; missing parts are undefined */
+	uint64_t parts;	  /* bit mask of the parts received */
+	uint64_t taken, dropped; /* counters: configurations */
 };
 
 void entry_table_init(struct entry *);
 void entry_table_finish(struct entry *);
-/* Ask our reader for a newer one, if we have been told that there is one. */
+/*
+ * Request the configuration from this node's reader, if another node has
+ * reported a different one.
+ */
 void entry_table_ask(struct entry *, msec);
-/* A message of kind SP_TABLE_ASK or SP_TABLE_PART. */
+/* Handle a message of kind SP_TABLE_ASK or SP_TABLE_PART from a node. */
 void entry_table_receive(struct entry *, name_id from, uint32_t address,
     uint16_t port, const sp_msg *, msec);
 
--- a/entry.c
+++ b/entry.c
@@ -1,5 +1,7 @@
 /*
- * An entry VM's process: starts and stops what entry.h names.
+ * Process of an entry VM: start, signals, periodic tick and shutdown of the
+ * parts that entry.h lists. dispatch-entry.c is unrelated: it belongs to the
+ * dispatch core of daemon.c.
  */
 
 #define LOG_PART "entry"
@@ -13,7 +15,7 @@
 #include <unistd.h>
 
 #define ENTRY_TICK_MS 100
-/* The settings file may change without a signal. */
+/* Interval between checks of the settings file for changes. */
 #define ENTRY_SETTINGS_MS 1000
 static void
 entry_signal(struct loop_io *io, uint32_t events)
@@ -137,7 +139,7 @@
 	e.wire = wire;
 	e.source = source;
 	if (!entry_start(&e)) {
-		log_warn("cannot start");
+		log_warn("startup failed");
 		return EXIT_FAILURE;
 	}
 	entry_log(&e.log, msec_now(), ENTRY_LOG_NEEDED, LOG_EVENT_STARTED,
