--- a/entry-attempt.c
+++ b/entry-attempt.c
@@ -1,6 +1,7 @@
 /*
- * The attempts of a request: what a backend server gets, how long it may be
- * silent, what its answer or its silence means, and whether another may try.
+ * Attempts of a request: writes the request for a backend server, bounds how
+ * long the server may stay silent, interprets its answer or failure, and
+ * decides whether to try another server.
  */
 
 #define LOG_PART "attempt"
@@ -8,18 +9,19 @@
 
 #include <string.h>
 
-/* Sends beyond the attempts allowed, for servers that said "not executed". */
+/* Sends beyond the route's attempts, for servers that answer "not executed". */
 #define JOB_EXTRA_SENDS 1
-/* Part of the target after which a silent server is given up, percent. */
+/* Percentage of the route's target after which a silent server is checked. */
 #define JOB_PATIENCE_PERCENT 80
-/* A busy server is looked at again so often; one silent for so long is lost. */
+/* Interval between further checks, and least silence of a server taken as dead.
+ */
 #define JOB_LOOK_AGAIN_MS 250
 #define JOB_SILENCE_MS 1000
-/* Reading takes so many times longer beside streams, at most. */
+/* Most that running streams slow down the reading of a prompt, as a factor. */
 #define JOB_READING_TIMES 4
-/* Longest prompt, where a service does not say what its servers hold. */
+/* Longest prompt of a service that does not configure its servers' memory. */
 #define JOB_TOKENS_MAX 1000000
-/* Pauses in a stream beyond this many times its target are a silence. */
+/* A pause in a stream of more than this many times its target is a failure. */
 #define JOB_GAP_TIMES 4
 #define JOB_GAP_LEAST_MS 1200
 
@@ -34,9 +36,9 @@
 	link_body, link_whole, link_ended };
 
 /*
- * Guards against a prompt of 4 billion tokens that a caller states: it would
- * lie ahead of all others of its tier, which were turned away while it waits.
- * No server reads more than it has memory for.
+ * Bound for the prompt length that a caller states. A request that states 4
+ * billion tokens would count as ahead of all others of its tier, which would be
+ * rejected while it waits. No server reads more than fits in its memory.
  */
 static uint64_t
 job_tokens_max(const struct job *j)
@@ -65,7 +67,7 @@
 	memcpy(w->avoid, j->tried, sizeof w->avoid);
 	if (!j->route->prompts)
 		return;
-	/* The last part is the request's own. */
+	/* The last part of the prompt is not shared with other requests. */
 	for (i = 0; i + 1 < r->nparts; i++) {
 		w->prompt = w->prompt * 0x9e3779b97f4a7c15ULL + r->parts[i].id;
 		shared += r->parts[i].tokens;
@@ -76,7 +78,7 @@
 		    r->prompt_tokens - shared, most - w->shared);
 }
 
-/* The bytes of the request as a server gets them. */
+/* Write the request as it is sent to a server. */
 static void
 job_write(struct job *j, msec now, const struct server *v, struct buffer *out)
 {
@@ -119,7 +121,7 @@
 		    buffer_left(&j->caller->body));
 }
 
-/* How long the server in hand may be silent before another is tried. */
+/* How long the current server may be silent before it is checked, in ms. */
 static msec
 job_patience_ms(const struct job *j)
 {
@@ -132,9 +134,10 @@
 }
 
 /*
- * A server from which we have heard nothing for so long is taken as dead. A
- * node of many has few requests on each server, so one that reads what others
- * sent it is as silent; who placed the request knew how much that was.
+ * How long a server may send this node nothing before it is taken as dead, in
+ * ms. In a large fleet each node has few requests on each server, so a server
+ * that is reading prompts of other nodes' requests is silent too. The queue
+ * known when the request was placed allows for them.
  */
 static msec
 job_silence_ms(const struct job *j)
@@ -152,7 +155,7 @@
 	loop_timer_set(&j->owner->loop, &j->patience, now + wait);
 }
 
-/* Send it to a server; true when one has it. */
+/* Start an attempt on a server; false when no connection is possible. */
 static bool
 job_send(struct job *j, msec now, struct server *v)
 {
@@ -179,9 +182,9 @@
 }
 
 /*
- * Guards against a key or route that was taken away while the request waited,
- * or while the whole process was paused: each attempt is judged by what is in
- * force when it is sent. False when the request has ended.
+ * Check the request against the configuration in force at this attempt: a key
+ * or route may have been removed while the request waited, or while the process
+ * was paused. False when the request has ended.
  */
 static bool
 job_admit_again(struct job *j, msec now)
@@ -192,7 +195,7 @@
 		code = JOB_TIMEOUT;
 	else if (code == JOB_SERVED && entry_poison_refuses(j, now))
 		code = JOB_POISON;
-	/* Also another attempt must end in time; a stream just goes on. */
+	/* A retry must end in time too; a stream that has begun continues. */
 	else if (code == JOB_SERVED && !j->began &&
 		 !entry_stop_leaves_time(j->owner, j, now))
 		code = JOB_LEAVING;
@@ -201,7 +204,6 @@
 	return code == JOB_SERVED;
 }
 
-/* Ask for a server; job_placed() follows. */
 void
 job_attempt(struct job *j, msec now)
 {
@@ -217,7 +219,7 @@
 	place_submit(&e->place, now, &j->place);
 }
 
-/* Nothing was sent: the caller hears so at once, and when to come back. */
+/* Reject the request at once; nothing was sent. */
 static void
 job_turn_away(struct job *j, msec now)
 {
@@ -232,7 +234,7 @@
 	job_fail(j, now, JOB_OVERLOADED);
 }
 
-/* Why there is no server for it. */
+/* The reason when placement finds no server. */
 static enum job_code
 job_without_server(const struct job *j)
 {
@@ -255,7 +257,7 @@
 		return;
 	}
 	if (!route_has_service(j->route, j->service)) {
-		/* The route moved meanwhile. */
+		/* The route's services changed while the request waited. */
 		place_end(p, now, r, SERVER_UNKNOWN);
 		job_attempt(j, now);
 		return;
@@ -275,7 +277,7 @@
 		job_attempt(j, now);
 }
 
-/* Could it go to another server, if the allowance of retries lets it? */
+/* Is another attempt possible, apart from the retry budget? */
 static bool
 job_could_go_on(struct job *j, msec now)
 {
@@ -291,7 +293,7 @@
 	return j->deadline - now >= JOB_LEAST_MS;
 }
 
-/* May it go to another server after an attempt that ended so? */
+/* Is another attempt allowed? Takes it from the retry budget. */
 static bool
 job_may_go_on(struct job *j, msec now, enum job_code why)
 {
@@ -312,7 +314,7 @@
 	return false;
 }
 
-/* The attempt in hand is over. */
+/* The current attempt has ended: start another one, or fail the request. */
 static void
 job_next(struct job *j, msec now, enum job_code why)
 {
@@ -342,7 +344,7 @@
 	job_attempt(j, now);
 }
 
-/* ---- what the link says ---- */
+/* ---- callbacks of the link ---- */
 
 static void
 job_ran(struct job *j)
@@ -352,7 +354,7 @@
 	j->arrivals++;
 }
 
-/* Connecting takes a while, and we may have been paused meanwhile. */
+/* Check again: the process may have been paused while connecting. */
 static bool
 link_sending(struct link *k, msec now)
 {
@@ -361,10 +363,10 @@
 }
 
 /*
- * Guards against an address that is another server's by now, while the entry of
- * the one that crashed has not lapsed: it says at once that it is not the one
- * that we name (421), and being quick and never busy it would get half of all
- * requests. Nobody is there for us, as if no connection could be had.
+ * Status 421 means that the address now belongs to another server, while the
+ * list entry of the crashed one has not expired. As these answers are immediate
+ * and the server seems idle, it would get half of all requests, so it is
+ * treated as one that accepts no connections.
  */
 static enum server_result
 job_refusal(const struct http_head *h)
@@ -402,7 +404,7 @@
 	if (!j->began)
 		reply_head(j, h);
 	else if (h->status >= 300) {
-		/* The stream that it was to go on with is another matter. */
+		/* The answer does not resume the stream that has begun. */
 		job_ran(j);
 		job_cancel(j, now, SERVER_FAILED);
 		job_next(j, now, JOB_BROKEN);
@@ -414,8 +416,8 @@
 }
 
 /*
- * Tell placement when the server is late, at once: that it lets in too many is
- * known by the first pause, seconds before the stream ends.
+ * Report a late server to placement at once: the first long pause shows that
+ * the server has accepted too many requests, seconds before the stream ends.
  */
 static void
 job_watch_time(struct job *j, msec now, bool first)
@@ -428,7 +430,7 @@
 		place_late(&j->owner->place, now, &j->place);
 }
 
-/* Its usage counts once, however often it is sent. */
+/* Count the request's usage once, even if several attempts run. */
 static void
 job_began_to_run(struct job *j, msec now)
 {
@@ -487,9 +489,9 @@
 }
 
 /*
- * Guards against a server that is called down since our own link is full: no
- * connection is confirmed in time, and in ten seconds one node of sixty named
- * most of ninety servers so.
+ * While this node's own network link is saturated, no connection is established
+ * in time. The servers must not be marked as down then: within ten seconds one
+ * node of sixty had marked most of ninety servers.
  */
 static enum server_result
 link_unheard(struct link *k, msec now)
@@ -500,7 +502,7 @@
 	return servers_in_reach(s, now) ? SERVER_DOWN : SERVER_UNKNOWN;
 }
 
-/* What is learned of a server where an attempt ended so. */
+/* What the end of an attempt shows about the server. */
 static enum server_result
 link_result(struct link *k, enum link_end how, msec now)
 {
@@ -518,10 +520,11 @@
 }
 
 /*
- * Guards against a request that waits for one connection after the other while
- * our own link is full: eight servers were tried for 600 ms each, and the
- * caller heard after 4.8 s that nothing had run. Told at once, it has the time
- * to go to another node. A stream that has begun can only go on from here.
+ * Fail the request at once while this node's own network link is saturated.
+ * Otherwise it waits for one connection after the other: eight servers were
+ * tried for 600 ms each, and the caller learned after 4.8 s that nothing had
+ * run. With an early answer it has time to use another node. A stream that has
+ * begun can only continue through this node, so it is retried.
  */
 static bool
 job_is_cut_off(struct job *j, msec now)
@@ -547,7 +550,7 @@
 			job_next(j, now, JOB_BROKEN);
 		return;
 	}
-	/* Nothing was handed over: it does not count as a send. */
+	/* No byte was sent, so the attempt does not count. */
 	j->sends--;
 	if (how == LINK_UNHEARD && job_is_cut_off(j, now)) {
 		j->last = JOB_UNREACHABLE;
@@ -564,8 +567,8 @@
 }
 
 /*
- * Guards against an attempt that is given up for none: the answer may be on its
- * way, and the caller would get 502 instead.
+ * Is there another server? Without one, abandoning the current attempt would
+ * turn an answer that may still arrive into a 502.
  */
 static bool
 job_has_another(struct job *j)
@@ -576,7 +579,10 @@
 	return servers_have_another(&j->owner->servers, &w);
 }
 
-/* The same at a node that is about to end; a stream that has begun goes on. */
+/*
+ * Can another attempt end before this node stops? A stream that has begun
+ * continues in any case.
+ */
 static bool
 job_has_time_for_another(struct job *j, msec now)
 {
@@ -585,10 +591,10 @@
 }
 
 /*
- * May the server in hand be given up as silent? If not yet, look again. Not
- * while our own link is full: nothing comes from any server then, and another
- * would read the prompt again for an answer that comes no sooner. Beside a
- * burst and stops that was a third of the requests given up as silent (60
+ * May the current server be given up as silent? Not while this node's own
+ * network link is saturated: no server's bytes arrive then, and another server
+ * would read the prompt again for an answer that comes no sooner. During a
+ * burst with stopping nodes these were a third of the requests given up (60
  * nodes, 90 servers).
  */
 static bool
@@ -605,10 +611,10 @@
 }
 
 /*
- * Guards against prompts that are read for nobody: of the streams that wait in
- * a server's queue until what is left of their time is shorter than what such
- * streams take from their first event on, hardly one is served, and half are
- * still read. The server is left, and the caller can come back in time.
+ * Is less time left until the deadline than streams of this route usually take
+ * after their first event? Hardly any request that still waits in a server's
+ * queue then is served in time, but the server reads the prompts of half of
+ * them. Cancelling saves that work, and lets the caller retry earlier.
  */
 static bool
 job_is_hopeless(const struct job *j, msec now)
@@ -631,7 +637,7 @@
 	    LOG_NUMBER(LOG_KEY_MS, now - j->sent_at),
 	    LOG_NUMBER(LOG_KEY_LEFT_MS, j->deadline - now));
 	job_ran(j);
-	/* It is busy, not broken. */
+	/* The server is busy, not faulty. */
 	job_cancel(j, now, SERVER_UNKNOWN);
 	job_fail(j, now, JOB_TIMEOUT);
 }
@@ -642,7 +648,7 @@
 	loop_timer_set(&j->owner->loop, &j->patience, now + JOB_LOOK_AGAIN_MS);
 }
 
-/* The server is silent: if another attempt is allowed, it goes there. */
+/* The server is silent: try another one if that is allowed. */
 void
 job_patience(struct loop_timer *t, msec now)
 {
--- a/entry-caller.c
+++ b/entry-caller.c
@@ -1,8 +1,8 @@
 /*
- * Connections of callers: bytes in, one request after the other, bytes out.
- * A request that waits is watched all the while, so that a caller that leaves
- * is seen at once. A caller that closes only its sending side looks the same
- * as one that has left, and is taken as such.
+ * Connections of callers: reads requests, handles one at a time, and writes the
+ * answers. The connection is also watched while a request is being handled, so
+ * that a disconnect is noticed at once. A caller that closes only its sending
+ * side cannot be told from one that disconnected, and is treated as such.
  */
 
 #define LOG_PART "caller"
@@ -20,15 +20,15 @@
 
 #define CALLER_BACKLOG 1024
 #define CALLER_READ 16384
-/* Pipelined bytes that wait while a request is answered. */
+/* Most pipelined bytes that are buffered while a request is answered. */
 #define CALLER_AHEAD 65536
-/* A peer that does not take or confirm our bytes for so long is gone. */
+/* A peer that acknowledges no sent bytes for so long is taken as gone. */
 #define CALLER_SILENT_MS 4000
-/* After our end is closed, the peer has so long to close its own. */
+/* After shutdown of the sending side, the peer has so long to close. */
 #define CALLER_LINGER_MS 500
-/* A caller that connects sends its first request within that. */
+/* A new connection is not closed as idle before this age. */
 #define CALLER_FIRST_MS 500
-/* Before a configuration says more. */
+/* Limits before there is a configuration. */
 #define CALLER_HEAD_MAX 16384
 #define CALLER_BODY_MAX (4 * 1024 * 1024)
 #define CALLER_TIMEOUT_MS 10000
@@ -37,7 +37,7 @@
 static void caller_parse(struct caller *, msec);
 static void caller_timer(struct loop_timer *, msec);
 
-/* ---- begin and end ---- */
+/* ---- opening and closing ---- */
 
 static void
 caller_set_options(int fd)
@@ -69,7 +69,7 @@
 	g_free(c);
 }
 
-/* The peer is gone, or must see that what it has is not whole. */
+/* Close the connection at once; a request in progress is abandoned. */
 static void
 caller_abort(struct caller *c, msec now)
 {
@@ -86,7 +86,7 @@
 	struct linger reset = { .l_onoff = 1, .l_linger = 0 };
 
 	c->busy = false;
-	/* What was written of the answer goes out before the break. */
+	/* With all bytes sent, close without a reset, so that they arrive. */
 	if (buffer_left(&c->out) == 0 && !c->shut) {
 		shutdown(c->io.fd, SHUT_WR);
 		c->shut = c->closing = true;
@@ -153,7 +153,7 @@
 		    io->fd, NULL, NULL, SOCK_NONBLOCK | SOCK_CLOEXEC)) != -1)
 		caller_new(li, fd);
 	if (errno != EAGAIN && errno != ECONNABORTED && errno != EINTR)
-		log_warn("cannot accept: %s", g_strerror(errno));
+		log_warn("cannot accept a connection: %s", g_strerror(errno));
 }
 
 bool
@@ -223,13 +223,13 @@
 	}
 }
 
-/* What was sent is not a request: say so, then close. */
+/* Answer an invalid request with an error, then close. */
 static void
 caller_refuse(struct caller *c, msec now, unsigned int status)
 {
 	entry_log(&c->owner->log, now, ENTRY_LOG_NEEDED, LOG_EVENT_REFUSED,
 	    LOG_NUMBER(LOG_KEY_STATUS, status),
-	    LOG_TEXT(LOG_KEY_REASON, "not a request as HTTP/1.1 has it"));
+	    LOG_TEXT(LOG_KEY_REASON, "not a valid HTTP/1.1 request"));
 	c->busy = true;
 	buffer_finish(&c->in);
 	caller_answer(c, now, status, "", "text/plain", "", false);
@@ -243,7 +243,7 @@
 	c->ops->request(c, now);
 }
 
-/* The head has come: the body's bounds, and whether it may be sent at all. */
+/* The head is complete: check the announced body length, answer "Expect". */
 static void
 caller_head(struct caller *c, msec now)
 {
@@ -391,14 +391,14 @@
 	buffer_add_text(&c->out, s);
 }
 
-/* All is written and the connection is to end: wait for the peer's end. */
+/* All is written: close the sending side and wait for the peer to close. */
 static void
 caller_shut(struct caller *c, msec now)
 {
 	/*
-	 * Guards against a reset that overtakes the answer: closing while
-	 * bytes of the peer are unread resets the connection. So only our
-	 * side is closed, and what still comes is read and thrown away.
+	 * close() with unread bytes resets the connection, and the peer may
+	 * lose the answer. So only the sending side is closed, and what still
+	 * arrives is read and discarded.
 	 */
 	shutdown(c->io.fd, SHUT_WR);
 	c->shut = true;
@@ -420,8 +420,11 @@
 		if (n == -1 && errno == EAGAIN)
 			break;
 		if (n <= 0) {
-			/* Freed on the next turn, when epoll says so: the
-			 * callers of this function still hold it. */
+			/*
+			 * The caller is freed on the next turn of the loop,
+			 * when epoll reports the error: the functions that call
+			 * this one still use it.
+			 */
 			buffer_finish(&c->out);
 			break;
 		}
@@ -454,7 +457,8 @@
 		loop_timer_set(&e->loop, &c->timer, now + CALLER_SILENT_MS);
 	}
 	caller_flush(c);
-	/* Requests that came ahead: on the next turn, not from in here. */
+	/* Pipelined requests are handled on the next turn, without recursion.
+	 */
 	if (!c->closing && buffer_left(&c->in) > 0)
 		loop_timer_set(&e->loop, &c->timer, now);
 }
@@ -487,9 +491,8 @@
 		    !http_reader_is_idle(&c->reader) || buffer_left(&c->in) > 0)
 			continue;
 		/*
-		 * Guards against a first request that crosses our close: it
-		 * would be read and thrown away, and its caller left without an
-		 * answer.
+		 * A first request may be on its way. It would be read and
+		 * discarded after the close, and the caller get no answer.
 		 */
 		if (c->served == 0 &&
 		    e->loop.now - c->accepted < CALLER_FIRST_MS)
--- a/entry-job.c
+++ b/entry-job.c
@@ -1,10 +1,10 @@
 /*
- * The life of one request, from its admission to its one answer.
+ * Life cycle of one request, from admission to its answer.
  *
- * What the caller is told is true in every case: 429, 503 and 408 say that
- * nothing has run nor will; 502 and 504 say that something may have. A byte
- * handed to a server means that it may have run, until that server says that
- * it did not.
+ * The status of an error answer reports whether a server may have executed the
+ * request: 429, 503 and 408 mean that it did not and will not run, 502 and 504
+ * that it may have run. Once a byte has been sent to a server the request may
+ * have run, unless that server answers that it did not.
  */
 
 #define LOG_PART "job"
@@ -14,13 +14,13 @@
 
 #include <string.h>
 
-/* Nothing of a request that fails comes back sooner. */
+/* Least Retry-After of answers with 503, if no other value below applies. */
 #define JOB_RETRY_AFTER_MS 400
-/* A node that starts knows more in a moment, and another knows now. */
+/* While this node starts, or when other nodes can check the key. */
 #define JOB_SOON_RETRY_MS 150
-/* Nobody takes it for a while: the platform is away, or all nodes leave. */
+/* When no node will accept it soon: platform unreachable, or all stopping. */
 #define JOB_AWAY_RETRY_MS 1000
-/* Another node takes it now; a new connection takes as long as that. */
+/* When another node accepts it now: the time for a new connection. */
 #define JOB_ELSEWHERE_RETRY_MS 20
 
 static void job_timer(struct loop_timer *, msec);
@@ -42,9 +42,9 @@
 	return names[c];
 }
 
-/* ---- the end ---- */
+/* ---- end of a request ---- */
 
-/* A span for the log: -1 stands for none. */
+/* A time span for the log, in ms; -1: none. */
 static int64_t
 job_span(msec span)
 {
@@ -101,7 +101,6 @@
 	    LOG_NUMBER(LOG_KEY_PROOF_MS, job_span(fresh_age(&e->fresh, now))));
 }
 
-/* Leave the server in hand. */
 void
 job_leave_server(struct job *j, msec now, enum server_result how)
 {
@@ -125,7 +124,7 @@
 	job_leave_server(j, now, how);
 }
 
-/* How long streams of its kind take from their first event on. */
+/* Update how long streams of the route take after their first event. */
 static void
 job_learn_rest(const struct job *j, msec now, enum job_code code)
 {
@@ -196,11 +195,11 @@
 		after = JOB_SOON_RETRY_MS;
 	else if (code == JOB_NOT_FRESH)
 		after = JOB_AWAY_RETRY_MS;
-	/* Spread, so that those refused together do not return together. */
+	/* Randomised, so that callers refused together do not all retry at
+	 * once. */
 	return after + g_rand_int_range(j->owner->rand, 0, (gint32)after);
 }
 
-/* The one answer, where no server's can be given. */
 void
 job_fail(struct job *j, msec now, enum job_code code)
 {
@@ -224,7 +223,6 @@
 
 /* ---- admission ---- */
 
-/* Look it up in what is in force now; the code when it may not pass. */
 enum job_code
 job_admit(struct job *j, msec now)
 {
@@ -244,9 +242,10 @@
 		return JOB_SERVED;
 	j->organisation = route_organisation_of(j->table, j->request.key);
 	/*
-	 * Guards against a key that was taken away while we could not hear of
-	 * it: without a proof young enough, nobody with a key passes. Nor is
-	 * a key called unknown that may have been given since.
+	 * Without a recent proof that the configuration is the newest, a key
+	 * may have been revoked without this node's knowledge, so requests with
+	 * a key are refused. An unknown key is not rejected as such either, as
+	 * it may have been issued since.
 	 */
 	if (!fresh_holds(&e->fresh, now))
 		return JOB_NOT_FRESH;
@@ -265,7 +264,7 @@
 	loop_timer_set(&j->owner->loop, &j->timer, j->deadline);
 }
 
-/* Where no key names the caller, the address that it connects from does. */
+/* Set the poison id; a caller without a key is identified by its address. */
 static void
 job_set_same(struct job *j)
 {
@@ -313,7 +312,7 @@
 		job_fail(j, now, JOB_BAD_REQUEST);
 		return;
 	}
-	/* The head goes when the answer is whole; the log line comes after. */
+	/* The log line needs the id after the head has been freed. */
 	j->request.id = j->id = g_strdup(j->request.id);
 	j->last_event = j->request.after;
 	if ((code = job_admit(j, now)) != JOB_SERVED) {
@@ -332,7 +331,7 @@
 	job_attempt(j, now);
 }
 
-/* ---- time and the caller ---- */
+/* ---- deadline and caller events ---- */
 
 static void
 job_timer(struct loop_timer *t, msec now)
@@ -367,7 +366,10 @@
 {
 	struct job *j, *next;
 
-	/* One that ends must not let another go on, which may end in turn. */
+	/*
+	 * The end of one request must not release a waiting one: the loop below
+	 * frees jobs while it walks their list.
+	 */
 	poisons_close(&e->poison.core);
 	TAILQ_FOREACH_SAFE (j, &e->jobs, entry, next) {
 		if (j->link != NULL && j->link->sent)
--- a/entry-link.c
+++ b/entry-link.c
@@ -1,7 +1,8 @@
 /*
- * Connections to backend servers. One request at a time on each; a kept
- * connection goes back to its server's pool only when the answer ended where
- * its framing says, not a byte came after it, and the server keeps it open.
+ * Connections to backend servers, with one request at a time on each. A
+ * connection returns to its server's pool of idle connections only if the
+ * answer was complete by its framing, no byte followed it, and the server keeps
+ * the connection open.
  */
 
 #define LOG_PART "link"
@@ -19,15 +20,15 @@
 #define LINK_READ 65536
 #define LINK_HEAD_MAX 65536
 #define LINK_BODY_MAX ((uint64_t)1 << 40)
-/* Servers are a few milliseconds away; beyond this none will answer. */
+/* Servers are a few milliseconds away; a later answer is not expected. */
 #define LINK_CONNECT_MS 600
-/* Bytes of ours that are not confirmed for so long: the path is gone. */
+/* Sent bytes unacknowledged for so long: the network path is lost. */
 #define LINK_SILENT_MS 1500
-/* Kept connections may idle so long when the server does not say. */
+/* Idle time of kept connections, if the server announces no timeout. */
 #define LINK_IDLE_MS 4000
-/* A server closes when its timeout is over: we stop using it before. */
+/* An idle connection is closed this long before the server's timeout. */
 #define LINK_IDLE_MARGIN_MS 500
-/* Used that shortly ago, a kept connection is still open. */
+/* A connection idle for less than this is assumed to be still open. */
 #define LINK_FRESH_MS 300
 
 static unsigned char link_input[LINK_READ];
@@ -57,7 +58,7 @@
 		k->ops->body(k, bytes, n, k->owner->loop.now);
 }
 
-/* Out of its server's pool. */
+/* Remove an idle link from its server's pool. */
 static void
 link_unpool(struct link_pool *p, struct link *k)
 {
@@ -65,7 +66,7 @@
 	p->nidle--;
 }
 
-/* It stands now, or goes. */
+/* The connection is established, or the link is about to be freed. */
 static void
 link_not_connecting(struct link *k)
 {
@@ -74,7 +75,7 @@
 	k->connecting = false;
 }
 
-/* Not while it is in the pool. */
+/* The link must not be in the pool. */
 static void
 link_free(struct link *k)
 {
@@ -98,7 +99,7 @@
 	link_free(k);
 }
 
-/* The attempt ends without a whole answer; the link goes. */
+/* End the attempt without a complete answer and free the link. */
 static void
 link_fail(struct link *k, msec now)
 {
@@ -129,7 +130,7 @@
 
 	fd = socket(AF_INET, SOCK_STREAM | SOCK_NONBLOCK | SOCK_CLOEXEC, 0);
 	if (fd == -1) {
-		log_warn("no socket: %s", g_strerror(errno));
+		log_warn("cannot create a socket: %s", g_strerror(errno));
 		return NULL;
 	}
 	link_set_options(fd);
@@ -163,10 +164,11 @@
 }
 
 /*
- * Guards against a server's end that has come and waits in this very turn of
- * the loop, behind the request that is about to be sent: a request that may run
- * only once cannot be sent again, and its caller gets 502. Nothing is due on an
- * idle connection, so whatever can be read there ends it.
+ * Has the server left an idle connection open? A close may have arrived that
+ * the loop has not processed in this turn. A request sent after it cannot be
+ * retried if it may run only once, and its caller would get 502. No data is
+ * expected on an idle connection, so anything readable means that it is
+ * unusable.
  */
 static bool
 link_is_open(const struct link *k)
@@ -177,7 +179,7 @@
 	       errno == EAGAIN;
 }
 
-/* The idle link that was used last, or NULL. */
+/* Take the idle link that was used last; NULL: none can be used. */
 static struct link *
 link_take_idle(struct entry *e, struct server *v, bool fresh, msec now)
 {
@@ -249,8 +251,8 @@
 	k->out = *request;
 	*request = (struct buffer){ 0 };
 	/*
-	 * A kept connection that fails here is found by epoll on the next
-	 * turn: the job is not ready to hear of it from in here.
+	 * A failure here is returned as NULL: the job cannot handle a callback
+	 * before this function returns.
 	 */
 	if (!k->connecting) {
 		loop_timer_stop(&e->loop, &k->timer);
@@ -271,7 +273,8 @@
 
 	if (getsockopt(k->io.fd, SOL_SOCKET, SO_ERROR, &error, &len) == -1 ||
 	    error != 0) {
-		log_debug("%s: %s", k->server->name, g_strerror(error));
+		log_debug("cannot connect to %s: %s", k->server->name,
+		    g_strerror(error));
 		k->refused = error == ECONNREFUSED;
 		return false;
 	}
@@ -303,9 +306,9 @@
 }
 
 /*
- * Guards against a request that is sent to a process that ends, or to whoever
- * has its address next: a connection is not kept, nor waited for, when its
- * server takes no work or has started anew under its name.
+ * Does the link lead to the server's current process, which accepts work? Other
+ * connections are neither kept nor waited for: the request would go to a
+ * stopping process, or to the next user of its address.
  */
 static bool
 link_is_current(const struct link *k)
@@ -314,8 +317,7 @@
 	       k->starts == k->server->starts;
 }
 
-/* The answer in hand ended well; `rest` bytes follow it that nobody asked
- * for. */
+/* The answer is complete; `rest` unexpected bytes follow it. */
 static void
 link_whole(struct link *k, size_t rest, msec now)
 {
@@ -332,16 +334,16 @@
 }
 
 /*
- * Guards against an extra answer that comes late, at the point where the next
- * one is expected: the request's id tells them apart, and a stray one is read
- * to its end and thrown away.
+ * The head of an answer is complete. A late extra answer to an earlier request
+ * is recognised by the request id, read to its end and discarded. False when
+ * the link cannot be used any more.
  */
 static bool
 link_head(struct link *k, msec now)
 {
 	struct http_head *h = k->reader.head;
 
-	/* 1xx: the answer proper follows. */
+	/* After a 1xx status the final answer follows. */
 	if (h->status < 200 || !k->ops->head(k, h, now)) {
 		k->skip = true;
 		k->owner->counters.strays += h->status >= 200;
@@ -351,7 +353,7 @@
 	return true;
 }
 
-/* Feed bytes; may free the link. */
+/* Parse bytes of an answer; may free the link. */
 static void
 link_take(struct link *k, const char *bytes, size_t n, msec now)
 {
@@ -378,7 +380,7 @@
 		http_reader_reset(&k->reader);
 	}
 	k->owner->link_in_hand = NULL;
-	/* The job may have given this attempt up meanwhile. */
+	/* A callback may have cancelled this attempt. */
 	if (k->job == NULL)
 		link_free(k);
 	else if (!good)
@@ -424,7 +426,7 @@
 	struct link *k = (struct link *)io;
 	msec now = k->owner->loop.now;
 
-	/* An idle connection has nothing to say but that it ends. */
+	/* Any event on an idle connection means that it is unusable. */
 	if (k->job == NULL) {
 		link_unpool(link_pool_of(k->server), k);
 		link_free(k);
@@ -436,7 +438,7 @@
 			link_fail(k, now);
 		return;
 	}
-	/* A reset after a whole answer: what has come is read first. */
+	/* Read first even on an error: a reset may follow a complete answer. */
 	if (events & (EPOLLIN | EPOLLRDHUP | EPOLLHUP | EPOLLERR)) {
 		link_read(k, now);
 		return;
@@ -462,7 +464,7 @@
 link_cancel(struct link *k)
 {
 	k->job = NULL;
-	/* link_take() sees that the job is gone, and frees it. */
+	/* While link_take() parses bytes of this link, it frees the link. */
 	if (k->owner->link_in_hand != k)
 		link_free(k);
 }
@@ -496,8 +498,8 @@
 
 	link_close_idle(e, v);
 	/*
-	 * Their requests do not come back here: no server is tried twice. The
-	 * next request of a caller may, to the process that has started anew.
+	 * The requests of these connections go to other servers, as no server
+	 * is tried twice. Later requests may use the server's new process.
 	 */
 	TAILQ_FOREACH_SAFE (k, &p->connecting, entry, next) {
 		if (!link_is_current(k))
