--- a/entry.h
+++ b/entry.h
@@ -1,21 +1,29 @@
 /*
- * An entry VM as one process with one thread: callers on one side, backend
- * servers on the other. The way of a request, top down; each file calls
- * downward and hands results up through the ops of its caller:
+ * Entry VM: a single-threaded process that forwards requests of callers to
+ * backend servers. A request passes through these files from top to bottom;
+ * each file calls those below it and returns results through the callbacks
+ * (struct *_ops) of the file above:
  *
- *   entry-caller.c   a caller's connection: bytes to requests and back
- *   entry-job.c      the life of one request: admission, time, outcome
- *   entry-attempt.c  its attempts: what a server gets, and what comes of it
- *   entry-link.c     a connection to a server: one attempt's bytes
- *   entry-reply.c    what of a server's answer goes to the caller
- *   entry-poison.c   whether it ends the servers that run it
+ *   entry-caller.c   connections of callers: parses requests, writes answers
+ *   entry-job.c      life cycle of one request: admission, deadline, outcome
+ *   entry-attempt.c  attempts of a request on backend servers, and retries
+ *   entry-link.c     connections to servers: transfers one attempt's bytes
+ *   entry-reply.c    forwards a server's answer to the caller
+ *   entry-poison.c   holds back requests that crash the servers that run them
  *
- * Beside it: place.c and server-choose.c say which server; entry-state.c has
- * what is in force (configuration, servers, other nodes), entry-era.c what the
- * store's answers are worth, entry-start.c what others say at a start,
- * entry-table.c takes the configuration from another node, entry-query.c
- * answers readiness and the directory, entry-stop.c has the planned stop,
- * entry.c starts and ends it all.
+ * Other files:
+ *
+ *   place.c, server-choose.c  choose the server of a request
+ *   entry-state.c    the state in force: configuration, servers, other nodes
+ *   entry-era.c      whether answers of the platform's store can be trusted
+ *   entry-start.c    asks other nodes for newer state at startup
+ *   entry-relay.c    shares reads of the platform among the nodes; relay.c is
+ *                    the protocol without I/O
+ *   entry-table.c    transfer of the configuration between nodes
+ *   entry-rate.c     rate limits that servers report
+ *   entry-query.c    readiness and directory listeners
+ *   entry-stop.c     planned stop
+ *   entry.c          process start, tick and shutdown
  */
 
 #ifndef ENTRY_H
@@ -54,13 +62,13 @@
 
 /* ---- connections of callers: entry-caller.c ---- */
 
-/* What takes the requests of a listener's connections. */
+/* Callbacks of the code that handles the requests of a listener. */
 struct caller_ops {
-	/* A whole request; caller->body has its body. */
+	/* A complete request has been read; caller->body contains its body. */
 	void (*request)(struct caller *, msec);
-	/* The caller left, or the connection broke, while it waited. */
+	/* The caller disconnected before its answer was complete. */
 	void (*gone)(struct caller *, msec);
-	/* What was written has gone out to under the low mark. */
+	/* The unsent bytes have fallen below CALLER_LOW. */
 	void (*drained)(struct caller *, msec);
 };
 
@@ -68,7 +76,7 @@
 	struct loop_io io;
 	struct entry *entry;
 	const struct caller_ops *ops;
-	bool counts; /* its connections hold the end of a stop up */
+	bool counts; /* a planned stop waits for its connections */
 };
 
 struct caller {
@@ -77,41 +85,50 @@
 	TAILQ_ENTRY(caller) entry;
 	struct entry *owner;
 	struct http_reader reader;
-	struct buffer in; /* read, not parsed yet */
+	struct buffer in; /* read but not parsed */
 	struct buffer body;
 	struct buffer out;
 	struct loop_timer timer;
-	struct job *job; /* the request in hand */
+	struct job *job; /* the current request, or NULL */
 	bool busy;	 /* a request waits for its answer */
 	bool closing;	 /* closes when all is written */
-	bool shut;	 /* our side is closed; waits for the peer's */
-	bool eof;	 /* the peer's side is closed */
-	bool counts;
-	msec accepted;
-	uint64_t served;
+	bool shut;	 /* the sending side is closed; waits for the peer */
+	bool eof;	 /* the peer has closed its sending side */
+	bool counts;	 /* from the listener */
+	msec accepted;	 /* time of accept() */
+	uint64_t served; /* answers completed */
 };
 
 bool caller_listen(struct entry *, struct listener_io *,
     const struct endpoint *, const struct caller_ops *, bool counts);
-/* Bytes of an answer; caller_ended() after the last. */
+/* Append bytes of an answer; call caller_ended() after the last. */
 void caller_write(struct caller *, const char *, size_t);
 void caller_write_text(struct caller *, const char *);
 /* Send what has been written. */
 void caller_flush(struct caller *);
-/* The answer is whole; the next request may come, or the connection ends. */
+/*
+ * The answer is complete. With `keep` the connection may be used for the next
+ * request, else it is closed.
+ */
 void caller_ended(struct caller *, msec, bool keep);
-/* The answer breaks off: the caller must see that it is not whole. */
+/* Close the connection so that the caller sees an incomplete answer. */
 void caller_break(struct caller *, msec);
-/* A whole answer of our own; the body may be "". Then caller_ended(). */
+/*
+ * Write a complete answer of this node and call caller_ended(). `fields` are
+ * header lines that end with CR LF; the body may be "".
+ */
 void caller_answer(struct caller *, msec, unsigned int status,
     const char *fields, const char *type, const char *body, bool keep);
-/* The peer's address as text, INET_ADDRSTRLEN bytes; "" if it is not known. */
+/* The peer's address as text, in INET_ADDRSTRLEN bytes; "" if unknown. */
 void caller_address(const struct caller *, char *);
-/* Bytes written that have not gone out yet. */
+/* Number of bytes written but not yet sent. */
 size_t caller_backlog(const struct caller *);
-/* Close connections that wait for nothing. */
+/* Close the connections without a request. */
 void caller_close_idle(struct entry *);
-/* Above the high mark a server's stream is paused, under the low it goes on. */
+/*
+ * Unsent bytes above which reading from the server is paused, and below which
+ * it continues.
+ */
 #define CALLER_HIGH (256 * 1024)
 #define CALLER_LOW (64 * 1024)
 
@@ -119,98 +136,100 @@
 
 /* How an attempt on a link ended without a whole answer. */
 enum link_end {
-	LINK_LEFT,    /* the server takes no more; nothing was handed over */
-	LINK_UNSENT,  /* no byte of the request was handed over */
-	LINK_UNHEARD, /* nor did the server answer when we connected */
-	LINK_BROKEN   /* some may have been */
+	LINK_LEFT,    /* the server stops taking work; nothing was sent */
+	LINK_UNSENT,  /* the connection failed; nothing was sent */
+	LINK_UNHEARD, /* connecting timed out; nothing was sent */
+	LINK_BROKEN   /* bytes of the request may have reached the server */
 };
 
-/* What hears of the attempt on a link. */
+/* Callbacks for the attempt on a link. */
 struct link_ops {
 	/*
-	 * A new connection stands and the request is about to go out on it:
-	 * false when it may not any more; the link is gone then.
+	 * A new connection is established and the request is about to be sent.
+	 * False when it must not be sent any more; the link is freed then.
 	 */
 	bool (*sending)(struct link *, msec);
-	/* The head of an answer; false: it is not for this request. */
+	/* The head of an answer. False when it answers another request. */
 	bool (*head)(struct link *, const struct http_head *, msec);
 	void (*body)(struct link *, const char *, size_t, msec);
-	/* The answer is whole; the link is no longer the job's. */
+	/* The answer is complete; the link no longer belongs to the job. */
 	void (*whole)(struct link *, msec);
-	/* It ended before; the link is no longer the job's. */
+	/* The attempt failed; the link no longer belongs to the job. */
 	void (*ended)(struct link *, enum link_end, msec);
 };
 
 struct link {
 	struct loop_io io;
 	const struct link_ops *ops;
-	TAILQ_ENTRY(link) entry; /* of the server's idle or connecting links */
+	TAILQ_ENTRY(link) entry; /* in link_pool's `idle` or `connecting` */
 	struct entry *owner;
 	struct server *server;
-	unsigned int starts; /* of the server, when it was connected */
+	unsigned int starts; /* the server's `starts` at connect() */
 	struct job *job;     /* NULL: idle */
 	struct http_reader reader;
 	struct buffer out;
 	struct loop_timer timer;
 	bool connecting;
-	bool used;     /* an answer came on it before */
-	bool sent;     /* a byte of the request was handed over */
-	bool skip;     /* the answer in hand is for nobody */
-	bool paused;   /* the caller does not read */
-	bool refused;  /* by the server, when we connected */
-	msec idle_max; /* may idle so long */
+	bool used;     /* it has carried a complete answer */
+	bool sent;     /* a byte of the request was sent */
+	bool skip;     /* the current answer is discarded */
+	bool paused;   /* the caller does not read fast enough */
+	bool refused;  /* the server refused the connection */
+	msec idle_max; /* longest idle time before it is closed */
 	msec idle_since;
 };
 
-/* What entry-link.c keeps of a server. */
+/* A server's links that are idle or connecting; in server->arg. */
 struct link_pool {
 	struct link_list idle, connecting;
 	unsigned int nidle;
 };
 
 /*
- * Send a request to a server, on a kept connection or a new one. NULL when no
- * connection can be had; nothing was sent then. `fresh`: only on a connection
- * that certainly has not been closed by the server meanwhile.
+ * Send a request to a server, on an idle connection or a new one. NULL when
+ * that fails. `to_head`: the request's method is HEAD. `fresh`: use an idle
+ * connection only if it was in use a moment ago, so that the server cannot have
+ * closed it. Takes over the buffer's contents.
  */
 struct link *link_send(struct entry *, struct server *, struct job *,
     const struct link_ops *, struct buffer *request, bool to_head, bool fresh,
     msec);
-/* Give the attempt up: the connection closes, so that the server stops. */
+/* Cancel the attempt: closes the connection, so that the server stops work. */
 void link_cancel(struct link *);
+/* Stop or continue reading from the server. */
 void link_pause(struct link *, bool);
 /* Close the idle links of a server. */
 void link_close_idle(struct entry *, struct server *);
 /*
- * The process that is there now takes no more work: idle links are closed, and
- * requests that wait for a connection to it go elsewhere at once.
+ * The server's current process takes no more work: close idle links, and end
+ * attempts that are still connecting with LINK_LEFT.
  */
 void link_leave(struct entry *, struct server *);
 void link_pool_free(struct server *);
 
 /* ---- requests: entry-job.c, entry-attempt.c, entry-reply.c ---- */
 
-/* Why a request ended as it did. */
+/* Outcome of a request or an attempt. */
 enum job_code {
-	JOB_SERVED,	  /* a server's whole answer */
-	JOB_SERVER_ERROR, /* a server's whole answer, a failure */
+	JOB_SERVED,	  /* a server's complete answer */
+	JOB_SERVER_ERROR, /* a server's complete answer with status 5xx */
 	JOB_BAD_REQUEST,
 	JOB_NO_ROUTE,
 	JOB_NO_KEY,	 /* the key is missing or unknown */
-	JOB_NOT_FRESH,	 /* keys cannot be judged now */
+	JOB_NOT_FRESH,	 /* keys cannot be checked: no recent proof */
 	JOB_STARTING,	 /* no configuration yet */
-	JOB_NO_SERVER,	 /* none is there, or all were tried */
-	JOB_FULL,	 /* servers said that they take no more */
-	JOB_OVERLOADED,	 /* too much is to be read before it */
-	JOB_UNREACHABLE, /* no connection could be had */
-	JOB_NO_BUDGET,	 /* another attempt was not allowed */
-	JOB_BROKEN,	 /* a server broke off; it may have run */
+	JOB_NO_SERVER,	 /* no server exists, or all were tried */
+	JOB_FULL,	 /* servers rejected it without running it */
+	JOB_OVERLOADED,	 /* the queue of prompts before it is too long */
+	JOB_UNREACHABLE, /* connecting to the server failed */
+	JOB_NO_BUDGET,	 /* the retry budget is used up */
+	JOB_BROKEN,	 /* a server's answer failed; it may have run */
 	JOB_TIMEOUT,	 /* of the route, or the caller's deadline */
-	JOB_STOPPED,	 /* this node ended before it */
-	JOB_LEAVING,	 /* this node would end before it */
-	JOB_LIMITED,	 /* no server takes another request now */
-	JOB_POISON,	 /* it ends the servers that run it */
-	JOB_CALLER_GONE,
+	JOB_STOPPED,	 /* this node's stop ended it */
+	JOB_LEAVING,	 /* this node stops before it could end */
+	JOB_LIMITED,	 /* the servers' rate limits allow none now */
+	JOB_POISON,	 /* it crashes the servers that run it */
+	JOB_CALLER_GONE, /* the caller disconnected */
 	JOB_CODES
 };
 const char *job_code_name(enum job_code);
@@ -220,112 +239,120 @@
 	struct entry *owner;
 	struct caller *caller;
 	struct wire_request request;
-	char *id;		      /* request.id's own memory */
-	const struct http_head *head; /* in the caller's reader */
-	struct route_table *table;    /* a reference */
+	char *id;		      /* owned copy of request.id */
+	const struct http_head *head; /* owned by the caller's reader */
+	struct route_table *table;    /* a counted reference */
 	const struct route *route;
 	const struct route_organisation *organisation;
-	struct poison_id same;	    /* however often its caller sends it */
-	struct poison_run run;	    /* leave to send it, where it is suspect */
-	struct server_check *check; /* that it waits for, or NULL */
+	struct poison_id same;	    /* equal for repetitions by one caller */
+	struct poison_run run;	    /* permission to send, if it is suspect */
+	struct server_check *check; /* the check it waits for, or NULL */
 	name_id service;
 	msec arrived;
-	msec deadline; /* a point: the caller's, or the route's timeout */
-	struct loop_timer timer;    /* at the deadline */
-	struct loop_timer patience; /* with the server in hand */
-	struct link *link;	    /* the attempt in hand */
-	struct server *server;	    /* its server */
-	/* Name of the last server; "": none. */
+	msec deadline; /* absolute: the caller's, or the route's timeout */
+	struct loop_timer timer;    /* fires at the deadline */
+	struct loop_timer patience; /* checks for a silent server */
+	struct link *link;	    /* of the current attempt, or NULL */
+	struct server *server;	    /* of the current attempt, or NULL */
+	/* Name of the last attempt's server; "": none. */
 	char server_name[SERVER_NAME_SIZE];
 	struct place_request place;
-	unsigned int sends;    /* requests handed to servers */
-	unsigned int arrivals; /* of those that may have reached one */
-	unsigned int runs;     /* of those that may have run */
+	unsigned int sends;    /* attempts started */
+	unsigned int arrivals; /* attempts that may have reached a server */
+	unsigned int runs;     /* attempts that may have run */
 	bool may_have_run;
-	bool came_leaving; /* this node was leaving when it came */
-	/* Hardly longer than that, when it began at a leaving node; or 0. */
+	bool came_leaving; /* it arrived during this node's stop */
+	/* Time allowed for it during this node's stop, in ms; else 0. */
 	msec needs;
-	bool repeatable;
-	bool began_to_run;  /* a server sent a byte of its answer */
-	bool is_last;	    /* the attempt in hand; none may follow */
+	bool repeatable;    /* may run more than once */
+	bool began_to_run;  /* a server sent a byte of an answer */
+	bool is_last;	    /* no attempt may follow the current one */
 	enum job_code last; /* why the last attempt ended */
 	unsigned int ntried;
 	name_id tried[SERVER_AVOID_MAX];
 	/* The answer: entry-reply.c. */
 	unsigned int status;
-	bool began;	   /* the head is out to the caller */
-	bool streamed;	   /* events, passed on one by one */
-	bool chunked;	   /* to the caller */
-	bool keeps;	   /* the connection, as its head said */
-	bool server_error; /* a server's own failure is kept in `held` */
-	bool refused_by_server;
-	enum server_result refusal; /* what that says of it */
-	msec sent_at, first_at;
-	msec passed_at;	      /* the newest part of the answer */
-	msec gap;	      /* longest pause between two */
-	struct buffer fields; /* of the server's head, for the caller */
-	struct buffer held;   /* body that is not passed on yet */
-	uint64_t last_event;  /* passed on to the caller */
-	uint64_t events;
+	bool began;	   /* the head was written to the caller */
+	bool streamed;	   /* forwarded event by event */
+	bool chunked;	   /* written in chunked transfer coding */
+	bool keeps;	   /* the head announced a kept connection */
+	bool server_error; /* `held` has a server's answer with status 5xx */
+	bool refused_by_server;	    /* the current attempt did not run */
+	enum server_result refusal; /* what the refusal shows of the server */
+	msec sent_at, first_at;	    /* of the attempt; of the answer's head */
+	msec passed_at;		    /* the newest part was forwarded */
+	msec gap;	      /* longest pause between two forwarded parts */
+	struct buffer fields; /* header lines for the caller */
+	struct buffer held;   /* body bytes not forwarded yet */
+	uint64_t last_event;  /* number of the last event forwarded */
+	uint64_t events;      /* numbered events forwarded */
 };
 
 extern const struct caller_ops job_caller_ops;
-/* From placement: the server for a request, or NULL. */
+/* Called by placement with the server for a request, or NULL. */
 void job_placed(struct place *, struct place_request *, struct server *, msec);
-/* Its name for logs, or NULL: it has none yet. */
+/* The poison id as text for logs, or NULL if it is not set yet. */
 const char *job_same(const struct job *, char[POISON_ID_SIZE]);
-/* May it pass by what is in force now? JOB_SERVED, or why not. */
+/*
+ * Look up the request's route and key in the configuration in force now.
+ * JOB_SERVED when it is admitted, else the reason for the refusal.
+ */
 enum job_code job_admit(struct job *, msec);
-/* Less time than this and an attempt is not worth beginning. */
+/* Least time until the deadline for which an attempt is started. */
 #define JOB_LEAST_MS 20
-/* Begin an attempt, the first or another. */
+/* Start the first or another attempt; job_placed() follows. */
 void job_attempt(struct job *, msec);
-/* What became of the server that broke off is known. */
+/* The check of a server whose connection broke has ended (entry-poison.c). */
 void job_checked(struct job *, msec);
-/* The timer on a silent server. */
+/* Timer callback: the server of the current attempt is silent. */
 void job_patience(struct loop_timer *, msec);
-/* The server in hand is left; and its connection is closed. */
+/* End the current attempt in placement. */
 void job_leave_server(struct job *, msec, enum server_result);
+/* The same, and close the attempt's connection. */
 void job_cancel(struct job *, msec, enum server_result);
-/* The one answer, where no server's can be given; its end after any answer. */
+/* Answer the caller with an error, or break off the answer; then free. */
 void job_fail(struct job *, msec, enum job_code);
+/* Count and log the outcome, and free the request. */
 void job_free(struct job *, msec, enum job_code);
-/* End what is in flight, at the end of a stop. */
+/* End all requests in flight, at the end of a stop. */
 void job_cut_all(struct entry *, msec);
 
-/* What a server's answer means, for entry-job.c. */
+/* Classification of a server's answer by its head. */
 enum reply_verdict {
-	REPLY_TAKE,	/* pass it on */
-	REPLY_STRAY,	/* for another request */
-	REPLY_REJECTED, /* not executed: try elsewhere */
-	REPLY_FAILURE,	/* its own failure: executed */
-	REPLY_RUBBISH	/* not to be trusted; it may have run */
+	REPLY_TAKE,	/* forward it */
+	REPLY_STRAY,	/* answers another request */
+	REPLY_REJECTED, /* not executed: try another server */
+	REPLY_FAILURE,	/* executed, with status 5xx */
+	REPLY_RUBBISH	/* invalid or unsigned; it may have run */
 };
 enum reply_verdict reply_judge(const struct job *, const struct http_head *);
-/* Keep the head's fields for the caller. */
+/* Store the answer's status and header fields for the caller. */
 void reply_head(struct job *, const struct http_head *);
-/* Body bytes; false when a stream does not go on where it must. */
+/*
+ * Body bytes. False when a resumed stream skips or repeats an event, or an
+ * event is too long.
+ */
 bool reply_body(struct job *, const char *, size_t, msec);
-/* All came: write the rest; the caller has the whole answer. */
+/* The server's answer is complete: write the rest of it. Returns true. */
 bool reply_whole(struct job *, msec);
-/* Forget what is not out yet, for another attempt. */
+/* Discard what has not been forwarded, before another attempt. */
 void reply_forget(struct job *);
-/* An answer of our own. */
+/* Write an answer of this node; `retry_after` in ms, 0: none. */
 void
 reply_own(struct job *, msec, unsigned int status, msec retry_after, bool keep);
 
-/* ---- rates that servers name: entry-rate.c ---- */
+/* ---- rate limits that servers report: entry-rate.c ---- */
 
-/* The head of an answer to the link's job has come. */
+/* Read the rate limit from the head of an answer on a link. */
 void entry_rate_heard(struct link *, const struct http_head *, msec);
-/* Another node has heard it. */
+/* Placement received a server's rate limit from another node: log it. */
 void entry_rate_told(struct place *, struct server *, msec);
 
 /* ---- readiness and directory: entry-query.c ---- */
 
 extern const struct caller_ops query_caller_ops;
 
-/* ---- what is in force: entry-state.c ---- */
+/* ---- the state in force: entry-state.c ---- */
 
 enum entry_phase {
 	ENTRY_STARTING, /* no configuration yet */
@@ -333,55 +360,56 @@
 	ENTRY_LEAVING
 };
 
-/* What is counted of the requests of one route. */
+/* Statistics of the requests of one route. */
 struct entry_kind {
 	RB_ENTRY(entry_kind) entry;
 	char route[NAME_SIZE];
 	uint64_t codes[JOB_CODES];
+	/* Times to the first byte and to the end; longest pauses; in ms. */
 	struct metrics_histogram first, whole, gap;
 	struct duration lasts; /* from arrival to the end of the answer */
-	struct duration rest;  /* of streams, from the first event on */
+	struct duration rest;  /* streams: from the first event to the end */
 };
 RB_HEAD(entry_kinds, entry_kind);
 int entry_kind_compare(struct entry_kind *, struct entry_kind *);
 RB_PROTOTYPE(entry_kinds, entry_kind, entry, entry_kind_compare)
-/* Routes beyond that are counted together only. */
+/* Further routes are counted only in the totals of all routes. */
 #define ENTRY_KINDS_MAX 64
 
 struct entry_counters {
 	uint64_t codes[JOB_CODES];
 	uint64_t attempts, retries, connects, reused, strays;
-	uint64_t tables;
-	uint64_t rates, rates_unreadable; /* changes that servers named */
+	uint64_t tables;		  /* configurations put in force */
+	uint64_t rates, rates_unreadable; /* changed rate limits; invalid */
 };
 
 struct entry {
 	struct loop loop;
 	struct settings *settings;
 	const char *settings_file;
-	int64_t settings_stamp; /* of the file as read last */
-	msec settings_look;	/* when to look at it next */
+	int64_t settings_stamp; /* modification time when read last */
+	msec settings_look;	/* time of the next check for changes */
 	const struct wire_ops *wire;
 	struct source *source;
 	enum entry_phase phase;
 	msec started;
-	msec leaving_since;
-	msec leaving_read; /* the signal; it may have waited since the above */
+	msec leaving_since; /* earliest time at which the signal arrived */
+	msec leaving_read;  /* time at which the signal was read */
 	msec last_request;
 	uint64_t incarnation;
 	struct route_table *table; /* NULL: none yet */
 	struct fresh fresh;
-	struct era era;	      /* of the source's store */
-	uint64_t era_written; /* known to the source as settled; 0: none */
+	struct era era;	      /* of the platform's store */
+	uint64_t era_written; /* settled era recorded in the store; 0: none */
 	struct entry_start start;
-	struct entry_table handed; /* by another node */
+	struct entry_table handed; /* being received from another node */
 	struct servers servers;
 	struct place place;
 	struct entry_poison poison;
 	struct loop_timer place_timer;
 	struct relay relay;
 	struct loop_timer relay_timer;
-	struct entry_duty *duty; /* NULL: there are none */
+	struct entry_duty *duty; /* NULL: no duties configured */
 	struct members members;
 	struct net net;
 	struct loop_io net_io;
@@ -392,12 +420,12 @@
 	unsigned int ncallers;
 	struct job_list jobs;
 	unsigned int njobs;
-	struct link *link_in_hand; /* its bytes are being read */
+	struct link *link_in_hand; /* being parsed by link_take(), or NULL */
 	struct retry_budgets budgets;
 	struct retry_budget_config budget;
-	unsigned int live_nodes; /* with us */
+	unsigned int live_nodes; /* including this one */
 	bool source_up;
-	msec source_lost; /* since when it does not answer */
+	msec source_lost; /* since when the source does not answer */
 	GRand *rand;
 	struct entry_log log;
 	struct entry_counters counters;
@@ -405,79 +433,80 @@
 	unsigned int nkinds;
 };
 
-/* From the source: a newer configuration; takes over the reference. */
+/* The source read a newer configuration; takes over the reference. */
 void entry_take_table(struct entry *, struct route_table *, msec);
-/* The configuration in force is the newest; a read sent then said so. */
+/* A read sent at `asked` showed that the configuration is the newest. */
 void entry_take_proof(struct entry *, msec asked);
-/* A read came to its end, but what it brought cannot be put in force. */
+/* A read sent at `asked` succeeded, but its result cannot be put in force. */
 void entry_take_nothing(struct entry *, enum relay_subject, msec asked);
-/* The servers are the newest; a read sent then said so. */
+/* A read sent at `asked` showed that the server list is the newest. */
 void entry_take_servers(struct entry *, msec asked);
-/* A read of a subject failed; entry_read_due() says when the next may be. */
+/* A read of a subject failed; entry_read_due() returns when to retry. */
 void entry_read_failed(struct entry *, enum relay_subject, msec);
-/* How long the next read of a subject can wait, in ms; 0: it is due. */
+/* Time until the next read of a subject, in ms; 0: it is due. */
 msec entry_read_due(const struct entry *, enum relay_subject, msec);
-/* Other nodes that announced themselves. */
+/* The list of nodes that announced themselves on the platform. */
 void entry_take_nodes(struct entry *, const struct vm *, unsigned int, msec);
-/* The source does not answer, or answers again. */
+/* The source stopped answering (`why`), or answers again. */
 void entry_source_down(struct entry *, msec, const char *why);
 void entry_source_up(struct entry *, msec);
 
-/* Since the process with an incarnation began, in ms. */
+/* Age of the process with an incarnation (its start in µs), in ms. */
 msec entry_age(uint64_t incarnation);
-/* Is another node there that takes work? */
+/* Does another node take work? */
 bool entry_others_ready(const struct entry *);
-/* May callers be sent here? */
+/* Can this node serve callers, including those with a key? */
 bool entry_is_ready(const struct entry *, msec);
 struct retry_budget *entry_budget(struct entry *, name_id service);
 bool entry_state_init(struct entry *, msec);
-/* The bounds of the settings are in force from now on. */
+/* Apply changed settings. */
 void entry_state_apply(struct entry *);
 void entry_state_tick(struct entry *, msec);
 void entry_state_finish(struct entry *);
-/* Placement has something due: set its timer anew. */
+/* Set placement's timer to the next time at which it has work due. */
 void entry_place_soon(struct entry *, msec);
 
-/* ---- what other nodes know of the newest state: entry-relay.c ---- */
+/* ---- shared reads of the platform: entry-relay.c ---- */
 
-/* How often the list of nodes is to be read. */
+/* Interval between reads of the list of nodes, in ms. */
 msec entry_nodes_every(const struct entry *);
+/* Changed servers, in a message from another node. */
 void entry_relay_servers(
     struct entry *, name_id from, const sp_relay_servers *, msec);
 void entry_relay_init(struct entry *, msec);
-/* The bounds of the settings are in force from now on. */
+/* Apply changed settings. */
 void entry_relay_apply(struct entry *);
 void entry_relay_finish(struct entry *);
 
 /* ---- metrics and dump: entry-metrics.c ---- */
 
 extern const struct caller_ops metrics_caller_ops;
-/* A request has ended. */
+/* Count a request that has ended. */
 void entry_count(struct entry *, const struct job *, enum job_code, msec);
-/* What is known of a route's requests; NULL: none has ended. */
+/* Statistics of a route; NULL: no request has been counted. */
 struct entry_kind *entry_kind_find(struct entry *, const char *route);
 void entry_kinds_free(struct entry *);
 
-/* ---- a planned stop: entry-stop.c ---- */
+/* ---- planned stop: entry-stop.c ---- */
 
-/* It begins; nothing happens when it has begun before. */
+/* Begin the stop; does nothing if it has begun already. */
 void entry_leave(struct entry *, msec);
-/* Can an attempt that begins now end before we do? */
+/* Can an attempt that starts now end before this process? Logs if not. */
 bool entry_stop_leaves_time(struct entry *, struct job *, msec);
 void entry_stop_tick(struct entry *, msec);
 
 /* ---- the process: entry.c ---- */
 
 /*
- * Run until SIGTERM and its end, with the settings of a file, which are read
- * again when it changes; the exit status.
+ * Run until a planned stop has ended. The settings file is read again when it
+ * changes. Returns the exit status.
  */
 int entry_main(struct settings *, const char *file, const struct wire_ops *,
     struct source *);
 
-/* ---- settings read again: entry-settings.c ---- */
+/* ---- reload of the settings: entry-settings.c ---- */
 
-/* After SIGHUP, or when the file has another stamp than last time. */
+/* Reload at once, or only if the file's modification time has changed. */
 void entry_settings_read(struct entry *, msec);
 void entry_settings_look(struct entry *, msec);
 
