--- a/entry-duty.c
+++ b/entry-duty.c
@@ -1,5 +1,5 @@
 /*
- * The node's side of duties; see entry-duty.h.
+ * Runs the usage and capacity duties on this node; see entry-duty.h.
  */
 
 #define LOG_PART "duty"
@@ -10,29 +10,33 @@
 #include <string.h>
 
 #define DUTY_TIMER_MS 100
-/* Coordinators tell what is asked of them so often. */
+/* Interval at which coordinators report demand to the holder. */
 #define DUTY_DEMAND_MS 1000
 /*
- * A window is decided once all nodes have told theirs, and in any case so long
- * after its end: what is missing by then comes from nodes that are gone.
+ * A window is final once all processes have reported their counts, but not
+ * before the first time after its end, and at the latest after the second:
+ * counts missing by then belong to nodes that are gone.
  */
 #define DUTY_DECIDE_LEAST_MS 400
 #define DUTY_DECIDE_MOST_MS 3000
-/* After a report that failed. */
+/* Delay before a failed report is retried. */
 #define DUTY_REPORT_RETRY_MS 700
-/* Notes go with every renewal as long as they are so small. */
+/*
+ * Notes up to this size go with every renewal; larger ones with fewer renewals,
+ * in proportion to their size.
+ */
 #define DUTY_NOTES_BYTES 8192
-/* A leaving node waits no longer for the end of its calls. */
+/* Longest time a leaving node waits for its pending calls. */
 #define DUTY_LEAVE_MS 1000
 
-/* A window whose counts will not change any more. */
+/* A usage window with final counts. */
 struct duty_window {
 	bool used;
 	uint64_t number;
 	json_t *counts;
-	bool saved;   /* in the log: any holder sends just this */
-	bool done;    /* reported, or too late */
-	bool carried; /* by the append under way */
+	bool saved;   /* in the log: all holders report these counts */
+	bool done;    /* reported, or past the deadline for reports */
+	bool carried; /* included in the pending append */
 };
 
 struct entry_duty {
@@ -40,21 +44,21 @@
 	struct usage usage;
 	struct capacity capacity;
 	struct loop_timer timer;
-	bool read_back; /* what the holder before us wrote is known */
-	json_t *kept;	/* servers needed, while we claim in a new era */
-	bool looking;
-	bool core_looks;	     /* for duty.c, too */
-	struct duty_window *windows; /* as many as usage remembers */
+	bool read_back;	 /* the previous holder's notes have been read */
+	json_t *kept;	 /* servers needed, while reclaiming in a new era */
+	bool looking;	 /* a lookup is pending */
+	bool core_looks; /* duty.c waits for the lookup */
+	struct duty_window *windows; /* usage.nwindows of them */
 	bool reporting;
-	uint64_t reported; /* the window under way */
+	uint64_t reported; /* window of the pending report */
 	msec next_report, next_demand, next_nodes;
-	unsigned int notes_turn;
-	unsigned int orders; /* under way */
+	unsigned int notes_turn; /* renewals until notes go along */
+	unsigned int orders;	 /* pending */
 	msec leaving_since;
 	struct usage_process *processes;
 	unsigned int nprocesses;
 	uint64_t reports, repeated, missed, fenced;
-	uint64_t skipped; /* windows that may have been reported */
+	uint64_t skipped; /* windows that a lost record may have reported */
 	uint64_t orders_taken, orders_none, orders_failed;
 };
 
@@ -64,7 +68,7 @@
 	return d->arg;
 }
 
-/* ---- windows that are decided ---- */
+/* ---- windows with final counts ---- */
 
 static struct duty_window *
 window_at(struct entry_duty *x, uint64_t number)
@@ -100,6 +104,7 @@
 		window_drop(&x->windows[i]);
 }
 
+/* Returns the time left until the deadline for reports of the window, in ms. */
 static msec
 window_left(const struct entry *e, uint64_t number, msec now)
 {
@@ -109,7 +114,10 @@
 	       e->settings->usage_lateness - usage_true(&x->usage, now);
 }
 
-/* Counts by name. One of an organisation that nobody names any more is lost. */
+/*
+ * Converts counts by name hash to counts by name. Counts of organisations that
+ * the configuration no longer contains are dropped.
+ */
 static json_t *
 counts_named(struct entry *e, GHashTable *sum)
 {
@@ -138,7 +146,7 @@
 	return counts;
 }
 
-/* ---- notes: what the next holder must know ---- */
+/* ---- notes: state that the holder saves in the log for the next one ---- */
 
 static json_t *
 notes_windows(struct entry *e, msec now)
@@ -234,10 +242,10 @@
 }
 
 /*
- * Guards against a second report of a window, with other counts, by a holder
- * who cannot know of the first: its record was written in an era that is over,
- * and lost. What had ended when the era began is left out, also by those who
- * follow us.
+ * Guards against reporting a window twice with different counts. If the log was
+ * restored from an older copy, the record of a report may have been lost with
+ * the old era. Windows that ended before this era began and have no record are
+ * marked as done; the notes pass this on to later holders.
  */
 static void
 windows_skip_lost(struct entry *e, msec now)
@@ -276,7 +284,7 @@
 	json_decref(top);
 }
 
-/* ---- the cores' calls ---- */
+/* ---- operations of duty.c, usage.c and capacity.c ---- */
 
 static void
 duty_op_append(struct duty *d, uint64_t at, bool claim)
@@ -330,7 +338,10 @@
 	duty_to_node(entry_of(d), node, msg);
 }
 
-/* We hold nothing, and know nothing that another holder may not change. */
+/*
+ * Discards the saved state: another node may hold the duty from now on and
+ * change it.
+ */
 static void
 duty_drop(struct entry_duty *x, msec now)
 {
@@ -339,7 +350,11 @@
 	capacity_hold(&x->capacity, now, false);
 }
 
-/* The log went back, and our lease runs: nobody else has held it meanwhile. */
+/*
+ * The log was restored from an older copy while this node's lease is still
+ * valid. No other node can have held the duty in between, so the number of
+ * servers needed is kept for the claim in the new era.
+ */
 static void
 duty_keep(struct entry *e, msec now)
 {
@@ -349,11 +364,12 @@
 	g_clear_pointer(&x->kept, json_decref);
 	x->kept = notes_capacity(&x->capacity);
 	capacity_hold(&x->capacity, now, false);
-	/* What was in the log may be lost. */
+	/* The records of these windows may be lost with the old era. */
 	for (i = 0; i < x->usage.nwindows; i++)
 		x->windows[i].saved = x->windows[i].carried = false;
 }
 
+/* The claim in the new era succeeded: continues with the state kept. */
 static void
 duty_hold_on(struct entry *e, msec now)
 {
@@ -434,7 +450,7 @@
 
 static const struct capacity_ops entry_capacity_ops = { capacity_op_order };
 
-/* ---- results of calls ---- */
+/* ---- results of calls by the source ---- */
 
 void
 entry_duty_appended(
@@ -462,7 +478,7 @@
 	x->looking = x->core_looks = false;
 	if (core)
 		duty_looked(&x->duty, now, ok, claim, end);
-	/* Another's claim may stand after ours. */
+	/* The newest claim may be another node's. */
 	if (!ok || x->read_back || !duty_is_claim(&x->duty, claim))
 		return;
 	x->read_back = true;
@@ -553,7 +569,7 @@
 		duty_rewound(&e->duty->duty, now, e->era.number);
 }
 
-/* ---- what others say, and what we count ---- */
+/* ---- messages from other nodes, counting, configuration ---- */
 
 void
 entry_duty_began(struct entry *e, const char *organisation, msec now)
@@ -572,7 +588,8 @@
 	if (x == NULL)
 		return;
 	if (members_find(&e->members, from) == NULL) {
-		log_debug("a message of duties by no member is dropped");
+		log_debug(
+		    "duty message from a node that is not a member dropped");
 		x->duty.counters.dropped++;
 		return;
 	}
@@ -607,9 +624,9 @@
 	g_free(all);
 }
 
-/* ---- time ---- */
+/* ---- timer ---- */
 
-/* Nodes for the duty, and the processes that count. */
+/* Updates the candidates of the duty and the processes that count usage. */
 static void
 duty_push_nodes(struct entry *e)
 {
@@ -642,7 +659,10 @@
 	g_free(nodes);
 }
 
-/* Those that would follow, too, so that a new holder knows the counts. */
+/*
+ * Sends usage counts to the holder and to the nodes that would take over, so
+ * that a new holder already has them.
+ */
 static void
 duty_push_keepers(struct entry *e)
 {
@@ -730,7 +750,7 @@
 	e->source->ops->report_usage(e->source, oldest->number, oldest->counts);
 }
 
-/* Without fresh knowledge of what is there nothing is ordered. */
+/* Orders nothing unless the list of servers is up to date. */
 static void
 duty_order_servers(struct entry *e, msec now)
 {
--- a/entry-era.c
+++ b/entry-era.c
@@ -1,5 +1,5 @@
 /*
- * What the store's answers are worth; see entry-era.h.
+ * Reacts to eras of the platform's store; see entry-era.h.
  */
 
 #define LOG_PART "era"
@@ -7,9 +7,14 @@
 
 #include <inttypes.h>
 
-/* From the time that was given to write again until all nodes have read it. */
+/*
+ * Time for all nodes to read what was written again after the store's return.
+ */
 #define ERA_READ_MS 1000
-/* A server that is gone may be in a copy that is so old. */
+/*
+ * Greatest age of a restored copy: it may list servers that went away within
+ * this time.
+ */
 #define ERA_COPY_MS 20000
 
 static void
@@ -33,8 +38,10 @@
 }
 
 /*
- * What was read is in force still, but nothing proves that it is the newest,
- * and the list of servers lacks what has yet to be written again.
+ * The store was restored from an older copy. What was read before stays in
+ * force, but is no longer proven to be the newest. Servers that are missing
+ * from the list stay in use, because they may not have registered again yet;
+ * servers that are known to be gone are not taken back from the older list.
  */
 static void
 entry_era_rose(struct entry *e, msec now)
@@ -74,8 +81,8 @@
 }
 
 /*
- * Where keys need not fail closed, a node that starts and hears nothing of the
- * era serves them at once.
+ * If keys need not fail closed, a starting node that received no information
+ * about the era from other nodes treats it as settled and accepts keys at once.
  */
 static bool
 entry_era_is_believed(const struct entry *e)
@@ -103,7 +110,7 @@
 	if (number != e->era.number || entry_era_settled(e, now) != 0)
 		return;
 	era_told(&e->era, now, number, (uint32_t)e->settings->rewrite);
-	/* What was read before does not prove it. */
+	/* Reads sent before this point prove nothing: read again. */
 	e->source->ops->read(e->source, RELAY_TABLE);
 }
 
@@ -115,8 +122,9 @@
 }
 
 /*
- * Guards against a fleet that serves no keys after all its processes were
- * killed together: none of them would know how old the era is.
+ * Guards against all nodes rejecting keys after all processes were killed
+ * together: without the record in the store no node could tell how old the era
+ * is.
  */
 void
 entry_era_tick(struct entry *e, msec now)
--- a/entry-era.h
+++ b/entry-era.h
@@ -1,6 +1,7 @@
 /*
- * The node's side of the store's era, see era.h: what is done when the store
- * has come back from an older copy of itself, and what its answers prove then.
+ * Handling of the era of the platform's store on an entry node (see era.h):
+ * what this node does when the store was restored from an older copy, and when
+ * an answer of the store proves that the configuration in force is the newest.
  */
 
 #ifndef ENTRY_ERA_H
@@ -12,25 +13,27 @@
 struct entry;
 
 /*
- * From the source: an answer of its store names this era; 0: none that can be
- * read. When the era rose the source is told to read all anew.
+ * Called by the source with the era in an answer of its store; 0 if the answer
+ * has none or it is unreadable. If the era is greater than the one known, the
+ * source's rewound() operation is called, which reads everything again.
  */
 enum era_verdict entry_take_era(struct entry *, uint64_t number, msec);
 /*
- * Is the configuration in force the newest, if a read that was sent then found
- * no newer one?
+ * Returns true if a read sent at time `asked` that found no newer configuration
+ * proves that the one in force is the newest.
  */
 bool entry_era_proves(const struct entry *, msec asked);
 /*
- * From the source: its store holds a record that says that this era had
- * settled.
+ * Called by the source when its store contains a record that this era has
+ * settled: all that was lost with the previous era had time to be written
+ * again.
  */
 void entry_era_vouched(struct entry *, uint64_t number, msec);
-/* The era, if it is known to have settled; for such a record. Else 0. */
+/* Returns the era if it is known to have settled, otherwise 0. */
 uint64_t entry_era_settled(const struct entry *, msec);
-/* Once an era has settled, the source writes that down. */
+/* Makes the source write the record once an era has settled. */
 void entry_era_tick(struct entry *, msec);
-/* A mark of this era, to be compared with other nodes'. */
+/* Combines a mark with the era, so that marks of two eras never match. */
 uint64_t entry_era_mark(const struct entry *, uint64_t mark);
 void entry_era_metrics(const struct entry *, GString *, msec);
 void entry_era_dump(const struct entry *, GString *, msec);
