--- a/entry-log.c
+++ b/entry-log.c
@@ -1,5 +1,5 @@
 /*
- * Structured lines that never block; see entry-log.h.
+ * Writes events as lines of JSON without blocking; see entry-log.h.
  */
 
 #include "entry-log.h"
@@ -10,9 +10,12 @@
 #include <string.h>
 #include <unistd.h>
 
-/* A reader that is away for a second under full load loses nothing. */
+/* Holds a second of lines under full load while the reader is stalled. */
 #define ENTRY_LOG_BYTES (128 * 1024)
-/* Enough to see what goes well; failures need room for the worst second. */
+/*
+ * Routine lines are a sample of normal operation; the limit of needed lines
+ * leaves room for a second with many failures.
+ */
 #define ENTRY_LOG_USUAL_PER_S 40
 #define ENTRY_LOG_NEEDED_PER_S 400
 
@@ -201,13 +204,16 @@
 	buffer_add_text(b, text);
 }
 
-/* Lines a second of each weight. */
+/* Limits of lines per second, by priority. */
 static const unsigned int log_most[] = {
 	[ENTRY_LOG_NEEDED] = ENTRY_LOG_NEEDED_PER_S,
 	[ENTRY_LOG_USUAL] = ENTRY_LOG_USUAL_PER_S,
 };
 
-/* Keeps the volume in bounds; usual lines take no room from needed ones. */
+/*
+ * Limits the volume. The limits are counted apart, so that routine lines cannot
+ * displace needed ones.
+ */
 static bool
 log_admit(struct entry_log *l, msec now, enum entry_log_weight weight)
 {
--- a/entry-log.h
+++ b/entry-log.h
@@ -1,7 +1,7 @@
 /*
- * The log of an entry VM: a line of JSON for each decision, to standard
- * output. Lines wait in a bounded buffer and go out as the reader takes them;
- * when it does not, they are dropped and counted, and nothing ever blocks.
+ * The event log of an entry VM: one line of JSON for each decision, written to
+ * standard output without blocking. Lines are kept in a bounded buffer; if the
+ * reader does not keep up, further lines are dropped and counted.
  */
 
 #ifndef ENTRY_LOG_H
@@ -13,13 +13,17 @@
 struct entry_log {
 	struct buffer out;
 	int fd;
-	uint64_t lines, dropped, told; /* told: dropped lines reported so far */
-	msec second;		       /* the one in which `in_second` counts */
-	unsigned int in_second[2];     /* by weight */
+	uint64_t lines, dropped;   /* lines written and left out */
+	uint64_t told;		   /* dropped lines reported so far */
+	msec second;		   /* start of the second of `in_second` */
+	unsigned int in_second[2]; /* lines in this second, by priority */
 	char node[NAME_SIZE];
 };
 
-/* Whether a line is needed to explain a failure, or may be left out. */
+/*
+ * The priority of a line: needed to explain a failure, or routine. Each has its
+ * own limit of lines per second.
+ */
 enum entry_log_weight {
 	ENTRY_LOG_NEEDED,
 	ENTRY_LOG_USUAL
@@ -27,7 +31,7 @@
 
 void entry_log_init(struct entry_log *, const char *node);
 void entry_log_finish(struct entry_log *);
-/* What happened. The table in entry-log.c has the words. */
+/* Events; entry_log_events[] has their names in the log. */
 enum entry_log_event {
 	LOG_EVENT_ATTEMPT_FAILED,
 	LOG_EVENT_CONDEMNED,
@@ -63,7 +67,7 @@
 	LOG_EVENTS
 };
 
-/* What decided it, and the outcome. */
+/* Fields of events; entry_log_keys[] has their names in the log. */
 enum entry_log_key {
 	LOG_KEY_AHEAD_MS,
 	LOG_KEY_CAME,
@@ -118,7 +122,7 @@
 
 struct entry_log_field {
 	enum entry_log_key key;
-	const char *text; /* NULL: null, or the number */
+	const char *text; /* NULL: JSON null, or `number` */
 	int64_t number;
 	bool is_number;
 };
@@ -131,7 +135,7 @@
 		(key), NULL, (int64_t)(value), true \
 	}
 
-/* A name and what it says, for pages and their tests. */
+/* A name in the log and its meaning, as the documentation lists them. */
 struct entry_log_word {
 	const char *name;
 	const char *meaning;
@@ -139,14 +143,17 @@
 extern const struct entry_log_word entry_log_events[LOG_EVENTS];
 extern const struct entry_log_word entry_log_keys[LOG_KEYS];
 
-/* One line: log, now, weight, event, then LOG_TEXT() and LOG_NUMBER(). */
+/*
+ * Logs one event: the log, the time, the priority, the event, then its fields
+ * as LOG_TEXT() and LOG_NUMBER().
+ */
 #define entry_log(l, now, weight, event, ...)                \
 	entry_log_fields((l), (now), (weight), (event),      \
 	    (const struct entry_log_field[]){ __VA_ARGS__ }, \
 	    G_N_ELEMENTS(((const struct entry_log_field[]){ __VA_ARGS__ })))
 void entry_log_fields(struct entry_log *, msec, enum entry_log_weight,
     enum entry_log_event, const struct entry_log_field *, size_t);
-/* Hand over what the reader takes. */
+/* Writes as much of the buffer as the reader accepts. */
 void entry_log_flush(struct entry_log *);
 
 #endif /* ENTRY_LOG_H */
--- a/entry-metrics.c
+++ b/entry-metrics.c
@@ -1,6 +1,7 @@
 /*
- * Counters and gauges of an entry VM, as text, and its state as a dump, on the
- * metrics address. docs/OPERATIONS.md says what each is for.
+ * Serves the metrics of an entry VM in the Prometheus text format (/metrics)
+ * and its state as text (/dump) on the metrics address. docs/OPERATIONS.md
+ * describes each metric.
  */
 
 #define LOG_PART "metrics"
@@ -176,7 +177,7 @@
 	    "Backend servers that get less after failures.", resting);
 }
 
-/* A service's name in the configuration. */
+/* Returns the name of a service, or "?" if the configuration has none. */
 static const char *
 service_name(const struct entry *e, name_id service)
 {
@@ -340,7 +341,10 @@
 		    v->links, v->rate.per_s);
 }
 
-/* How long requests take, which says what a leaving node still takes. */
+/*
+ * How long requests of each route last; a leaving node accepts only requests
+ * that are expected to end before its stop deadline.
+ */
 static void
 dump_kinds(GString *s, struct entry *e)
 {
@@ -353,7 +357,7 @@
 		    k->route, k->lasts.mean, k->lasts.deviation, k->lasts.seen);
 }
 
-/* What this node has learned as coordinator. */
+/* Limits and prompt lengths that this node has learned as coordinator. */
 static void
 dump_mixes(GString *s, struct entry *e)
 {
--- a/entry-poison.c
+++ b/entry-poison.c
@@ -1,5 +1,6 @@
 /*
- * Requests that end their servers, on this node; see entry-poison.h.
+ * Checks whether the process of a server has ended and handles suspect
+ * requests; see entry-poison.h.
  */
 
 #define LOG_PART "poison"
@@ -17,46 +18,52 @@
 #include <xxhash.h>
 
 /*
- * A process that ends closes its connections before it stops to listen, so it
- * is looked at a moment later, and once more.
+ * A process that ends closes its connections before its listening socket, so
+ * the first check begins after a delay, and a second one follows.
  */
 #define CHECK_FIRST_MS 5
 #define CHECK_AGAIN_MS 40
 #define CHECK_LOOKS 2
-/* A request waits so long for what is found of its server. */
+/* Longest time that a request waits for the result of a check. */
 #define CHECK_WAIT_MS 60
-/* A server that answers no connection is taken as silent after. */
+/* Timeout of the connection; the server counts as silent after it. */
 #define CHECK_SILENT_MS 300
-/* News of the platform that a process ended come within. */
+/* The platform reports the end of a process within this time. */
 #define CHECK_LISTED_MS (10 * MSEC_SECOND)
-/* Connections to a process that ended have all broken within. */
+/*
+ * All connections to a process break within this time after its end; the
+ * requests on them become suspects, too.
+ */
 #define CHECK_ENDED_MS (2 * MSEC_SECOND)
-/* What left a server so long before its end may have caused it. */
+/*
+ * Requests abandoned at a server within this time before its end may have
+ * caused it.
+ */
 #define POISON_LEFT_MS 2000
 
 enum check_state {
-	CHECK_DUE,    /* it is about to be looked at */
-	CHECK_RUNS,   /* a connection to it is under way */
-	CHECK_SILENT, /* no answer; the platform will know */
-	CHECK_ENDED   /* nobody is there */
+	CHECK_DUE,    /* waits for the delay of the next connection */
+	CHECK_RUNS,   /* the connection is being established */
+	CHECK_SILENT, /* no answer; the platform's list decides */
+	CHECK_ENDED   /* the process has ended */
 };
 
-/* The process of a server, when a connection to it has broken. */
+/* A check of a server's process after a connection to it broke. */
 struct server_check {
 	struct loop_io io;
 	TAILQ_ENTRY(server_check) entry;
 	struct entry *owner;
 	name_id server;
 	char name[SERVER_NAME_SIZE];
-	uint64_t life;
+	uint64_t life; /* of the process: server_life() */
 	uint32_t address;
 	uint16_t port;
 	enum check_state state;
-	unsigned int looks;
-	struct loop_timer timer; /* of the state */
-	struct loop_timer wait;	 /* of the requests that wait */
+	unsigned int looks;	 /* connections tried */
+	struct loop_timer timer; /* ends the state */
+	struct loop_timer wait;	 /* releases the requests that wait */
 	msec since;
-	GArray *aboard; /* struct poison_id: what was there */
+	GArray *aboard; /* struct poison_id: requests it was running */
 };
 
 static void check_ready(struct loop_io *, uint32_t);
@@ -64,7 +71,7 @@
 static void check_wait(struct loop_timer *, msec);
 static void check_look(struct server_check *, msec);
 
-/* The same for one process on all nodes. */
+/* Hashes the identity of a server's process, the same on all nodes. */
 static uint64_t
 server_life(const struct server *v)
 {
@@ -74,7 +81,7 @@
 	return XXH64(words, sizeof words, 8);
 }
 
-/* ---- what a server's end means ---- */
+/* ---- results of a check ---- */
 
 static struct job *
 check_waiting(const struct server_check *c)
@@ -88,7 +95,7 @@
 	return NULL;
 }
 
-/* Requests that wait to hear of it go on. */
+/* Resumes the requests that wait for the result. */
 static void
 check_let_go(struct server_check *c, msec now)
 {
@@ -96,7 +103,7 @@
 	struct job *j;
 
 	loop_timer_stop(&e->loop, &c->wait);
-	/* From the start each time: one that goes on may end others. */
+	/* Start over each time: resuming one job may end others. */
 	while ((j = check_waiting(c)) != NULL) {
 		j->check = NULL;
 		poison_settled(&e->poison.core, now, j->same);
@@ -132,7 +139,7 @@
 	}
 }
 
-/* Its process has ended: all that was there is suspect. */
+/* The process has ended: all requests that it was running are suspects. */
 static void
 check_ended(struct server_check *c, msec now)
 {
@@ -158,7 +165,10 @@
 	check_let_go(c, now);
 }
 
-/* It answers, it seems; requests need not wait any more. */
+/*
+ * The server accepts connections, so its process probably has not ended:
+ * resumes the requests, then checks once more.
+ */
 static void
 check_stands(struct server_check *c, msec now)
 {
@@ -174,7 +184,7 @@
 	loop_timer_set(&e->loop, &c->timer, now + CHECK_AGAIN_MS);
 }
 
-/* What became of it is the platform's to say. */
+/* The check was inconclusive: wait for the platform's list to change. */
 static void
 check_silent(struct server_check *c, msec now)
 {
@@ -220,11 +230,12 @@
 		check_silent(c, now);
 }
 
-/* ---- looking at a server ---- */
+/* ---- checking a server ---- */
 
 /*
- * A connection of its own: kept ones may be broken as well, and no request may
- * be lost for it. A process that has ended refuses it, here or a moment later.
+ * Opens a new connection, because kept ones may be broken as well and the check
+ * must not cost a request. If the process has ended, the connection is refused,
+ * either by connect(2) itself or later.
  */
 static enum check_state
 check_connect(struct server_check *c)
@@ -234,7 +245,8 @@
 
 	fd = socket(AF_INET, SOCK_STREAM | SOCK_NONBLOCK | SOCK_CLOEXEC, 0);
 	if (fd == -1) {
-		log_warn("no socket: %s", g_strerror(errno));
+		log_warn("cannot create a socket to check a server: %s",
+		    g_strerror(errno));
 		return CHECK_SILENT;
 	}
 	c->owner->counters.connects++;
@@ -307,7 +319,7 @@
 	struct entry *e = j->owner;
 	struct server_check *c;
 
-	/* One that leaves ends as it should. */
+	/* A server that is not ready ends as planned. */
 	if (v->state != SERVER_READY || poison_id_is_none(j->same))
 		return false;
 	c = check_find(e, server_life(v));
@@ -353,8 +365,10 @@
 }
 
 /*
- * What a silent server had is known now: gone without having said that it
- * leaves, or started anew. By its name, as its life is another already.
+ * Resolves checks of a silent server. If the server is draining, its end was
+ * planned; otherwise it is gone or was restarted, so the checked process has
+ * ended. The server is matched by name, because `life` has changed already if
+ * it was restarted.
  */
 void
 entry_poison_listed(struct entry *e, struct server *v, msec now)
@@ -428,7 +442,7 @@
 		job_fail(j, now, JOB_POISON);
 }
 
-/* One that a server has, and has not begun to answer. */
+/* Finds a request that was sent to a server but not answered yet. */
 static struct job *
 poison_unbegun(struct entry *e, struct poison_id id)
 {
@@ -443,8 +457,9 @@
 }
 
 /*
- * Copies that wait in the queue of a server have not ended it yet. One whose
- * answer has begun may yet come through, and clear it.
+ * Fails the copies of a condemned request that have no answer yet: they may be
+ * queued at a server and have not ended it so far. A copy whose answer has
+ * begun goes on, because a complete answer clears the request.
  */
 static void
 poison_op_condemned(struct poisons *p, struct poison_id id, msec now)
@@ -466,7 +481,7 @@
 static const struct poison_ops entry_poison_ops = { poison_op_send,
 	poison_op_decided, poison_op_condemned };
 
-/* ---- nodes, time ---- */
+/* ---- live nodes and timer ---- */
 
 void
 entry_poison_set_nodes(struct entry *e, msec now)
--- a/entry-poison.h
+++ b/entry-poison.h
@@ -1,7 +1,8 @@
 /*
- * The node's side of requests that end their servers, see poison.h: whether a
- * server's process ended, what of ours was there, and what becomes of the
- * requests meanwhile.
+ * Detection of poison requests on an entry node; see poison.h. When a
+ * connection to a backend server breaks, this node checks whether the server's
+ * process has ended, reports the requests that it was running as suspects, and
+ * holds requests back until the result is known.
  */
 
 #ifndef ENTRY_POISON_H
@@ -17,12 +18,15 @@
 struct server_check;
 TAILQ_HEAD(server_checks, server_check);
 
-/* Requests that left a server lately, whose end they may have caused. */
+/*
+ * Number of requests remembered after they were abandoned at a server: they may
+ * still cause the end of its process.
+ */
 #define POISON_LEFT 64
 
 struct poison_left {
 	struct poison_id id;
-	uint64_t life; /* of the server; 0: none */
+	uint64_t life; /* process of the server; 0: unused */
 	msec at;
 };
 
@@ -32,33 +36,35 @@
 	struct server_checks checks;
 	struct poison_left left[POISON_LEFT];
 	unsigned int next_left;
-	uint64_t checked, ended; /* servers looked at, and found ended */
+	uint64_t checked, ended; /* checks begun, processes found ended */
 };
 
 void entry_poison_init(struct entry *);
 void entry_poison_finish(struct entry *);
 /*
- * May a request go to a server now? False when it waits, and goes on by
- * itself, or has ended.
+ * Returns true if a request may be sent to a server now. Otherwise the request
+ * either waits and is resumed by a later decision, or has failed.
  */
 bool entry_poison_admit(struct job *, msec);
-/* Not while it has leave for a trial. */
+/*
+ * Returns true if the request is condemned, unless it has been granted a trial.
+ */
 bool entry_poison_refuses(const struct job *, msec);
 /*
- * A request's connection to a server broke. The server is looked at, and the
- * request is suspect if it has ended. True when the request is to wait for
- * that: job_checked() follows.
+ * The connection of a request to a server broke: starts a check of the server's
+ * process. The request becomes a suspect if the process has ended. Returns true
+ * if the request must wait for the result; then job_checked() is called.
  */
 bool entry_poison_broke(struct job *, const struct server *, bool waits, msec);
-/* It was given up while the server had it. */
+/* A request was abandoned while the server was running it. */
 void entry_poison_left(const struct job *, const struct server *, msec);
-/* A server refused a connection: nobody is there. */
+/* A server refused a connection: its process has ended. */
 void entry_poison_refused(struct entry *, struct server *, msec);
-/* What the platform says of it has changed. */
+/* The state of a server in the platform's list has changed. */
 void entry_poison_listed(struct entry *, struct server *, msec);
-/* Something is to be passed on, or waits: set the timer anew. */
+/* Updates the timer after new work for poison.c. */
 void entry_poison_soon(struct entry *, msec);
-/* The live nodes; see poisons_set_nodes(). */
+/* Passes the live nodes to poisons_set_nodes(). */
 void entry_poison_set_nodes(struct entry *, msec);
 void entry_poison_metrics(const struct entry *, GString *);
 void entry_poison_dump(const struct entry *, GString *, msec);
--- a/entry-settings.c
+++ b/entry-settings.c
@@ -1,7 +1,7 @@
 /*
- * The settings of a running entry VM: read again after SIGHUP and when the
- * file changes without one. Bounds are taken up; addresses and names need a
- * new process, and a file that is wrong changes nothing.
+ * Reloads the settings of a running entry VM after SIGHUP or when the file has
+ * changed. Time limits and retry limits are applied; names and addresses need a
+ * restart. If the file has errors, all settings stay as they are.
  */
 
 #define LOG_PART "settings"
@@ -11,7 +11,7 @@
 
 #include <string.h>
 
-/* Any change of the file changes this; 0: it cannot be looked at. */
+/* Returns a value that changes with the file, or 0 if stat(2) fails. */
 static int64_t
 settings_stamp(const char *file)
 {
@@ -73,17 +73,17 @@
 	findings_init(&findings);
 	if (!settings_load(&s, e->settings_file, &findings)) {
 		TAILQ_FOREACH (one, &findings.list, entry) {
-			g_autofree char *text =
-			    g_strdup_printf("kept as they were; %s:%u:%u: %s",
-				one->file, one->line, one->column, one->text);
+			g_autofree char *text = g_strdup_printf(
+			    "settings not changed; %s:%u:%u: %s", one->file,
+			    one->line, one->column, one->text);
 
 			settings_log(e, now, text);
 		}
 	} else {
 		settings_log(e, now,
 		    settings_need_restart(e->settings, &s)
-			? "bounds taken up; names and addresses need a restart"
-			: "taken up");
+			? "limits applied; names and addresses need a restart"
+			: "applied");
 		settings_take_bounds(e->settings, &s);
 		entry_state_apply(e);
 		settings_finish(&s);
@@ -97,7 +97,7 @@
 	int64_t stamp = settings_stamp(e->settings_file);
 
 	if (stamp != 0 && stamp != e->settings_stamp) {
-		/* The first look only notes what was read at the start. */
+		/* The first check only records the stamp of the file. */
 		if (e->settings_stamp == 0)
 			e->settings_stamp = stamp;
 		else
--- a/entry-start.c
+++ b/entry-start.c
@@ -1,5 +1,6 @@
 /*
- * What others say to a node that starts; see entry-start.h.
+ * Queries other nodes for the newest configuration version when this node
+ * starts; see entry-start.h.
  */
 
 #define LOG_PART "start"
@@ -8,13 +9,14 @@
 #include <string.h>
 
 /*
- * Nodes asked at a time. Answers of as many that know something are enough;
- * others start too, and may be asked again when they know more.
+ * Nodes queried in each round. The queries end after as many answers with a
+ * version. Nodes that are starting themselves have none yet and may be queried
+ * again in a later round.
  */
 #define START_NODES 3
-/* Between two rounds of questions; answers take a few milliseconds. */
+/* Interval of the rounds; an answer takes a few milliseconds. */
 #define START_AGAIN_MS 60
-/* Nobody is served meanwhile. */
+/* Bound of all rounds, because no caller is served during them. */
 #define START_MOST_MS 400
 
 static void
@@ -27,7 +29,7 @@
 	s->done = true;
 	s->asking = false;
 	s->table = NULL;
-	log_debug("%u nodes told what they know", s->know);
+	log_debug("%u nodes answered with a configuration version", s->know);
 	s->unanswered = s->know == 0;
 	if (t == NULL)
 		return;
@@ -70,7 +72,7 @@
 	loop_timer_set(&e->loop, t, now + START_AGAIN_MS);
 }
 
-/* No two nodes that start ask the same ones. */
+/* Nodes that start at the same time query different ones first. */
 static void
 start_shuffle(struct entry *e)
 {
@@ -88,7 +90,7 @@
 	}
 }
 
-/* Once each, and not ourselves. */
+/* Adds a node once; the local node is left out. */
 static void
 start_add(struct entry *e, const struct vm *vm)
 {
@@ -108,9 +110,9 @@
 }
 
 /*
- * Guards against a copy of the store in which no node stands, as all were
- * stopped in turn since it was made: nobody would be asked, and an older
- * configuration be taken for the newest.
+ * Guards against a restored copy of the store that lists none of the running
+ * nodes, because all were replaced in turn since the copy was made: no node
+ * would be queried, and an older configuration would pass for the newest.
  */
 static void
 start_add_seeds(struct entry *e)
@@ -190,8 +192,9 @@
 }
 
 /*
- * An answer may come twice, or after the configuration was taken: then a newer
- * version that it names still keeps the one in force from being proven.
+ * An answer may arrive twice, or after the configuration is in force. In the
+ * latter case a newer version in it still prevents a proof that the
+ * configuration in force is the newest.
  */
 static void
 start_told(struct entry *e, name_id from, const sp_start_tell *t, msec now)
@@ -200,7 +203,7 @@
 	bool first;
 
 	if (t->seq != s->seq) {
-		log_debug("an answer to nothing that was asked is dropped");
+		log_debug("answer with an unknown sequence number dropped");
 		return;
 	}
 	first = g_hash_table_add(s->told, g_memdup2(&from, sizeof from));
--- a/entry-start.h
+++ b/entry-start.h
@@ -1,9 +1,12 @@
 /*
- * A node that starts while the store shows an older copy of itself. It would
- * take an older configuration for the newest, which its fellows know better:
- * it asks some of them before it goes by what it has read. Nobody answers when
- * all were killed together; then the store's word is all there is, and proves
- * nothing before what it may have lost had time to be written again.
+ * Guards the start of a node against a store that was restored from an older
+ * copy. Such a store may return an older configuration than the newest one that
+ * other nodes have already received. A starting node therefore queries some of
+ * them for the newest version and the age of the store's era before it uses the
+ * configuration that it has read. If no node answers, because all were killed
+ * together, it uses that configuration. Where keys fail closed, the
+ * configuration then counts as proven to be the newest only once the store's
+ * era has settled (see entry_era_proves()).
  */
 
 #ifndef ENTRY_START_H
@@ -19,32 +22,39 @@
 
 struct entry_start {
 	struct loop_timer timer;
-	bool asking;
+	bool asking; /* other nodes are being queried */
 	bool done;
-	uint32_t seq;	   /* of the questions */
-	msec until;	   /* they end then at the latest */
-	uint64_t version;  /* the newest that any of them has heard of */
-	bool listed;	   /* who may be asked is known */
-	GArray *nodes;	   /* struct vm: these, in the order of asking */
-	guint next;	   /* of them */
-	GHashTable *told;  /* name_id: who has answered */
-	unsigned int know; /* of these, who were no beginners themselves */
-	bool unanswered;   /* nobody knew anything */
-	struct route_table *table; /* read meanwhile; NULL: none */
-	msec asked; /* the read that found none newer; MSEC_NEVER: none */
+	uint32_t seq;	   /* of the queries; answers repeat it */
+	msec until;	   /* the queries end then at the latest */
+	uint64_t version;  /* the newest in any answer */
+	bool listed;	   /* the source has listed the nodes */
+	GArray *nodes;	   /* struct vm: nodes to query, in this order */
+	guint next;	   /* index in `nodes` */
+	GHashTable *told;  /* name_id: nodes that have answered */
+	unsigned int know; /* answers with a configuration version */
+	bool unanswered;   /* no node answered with a version */
+	struct route_table *table; /* deferred; NULL: none */
+	/* When the read that found none newer was sent; MSEC_NEVER: none. */
+	msec asked;
 };
 
 void entry_start_init(struct entry *);
 void entry_start_finish(struct entry *);
-/* Must a configuration wait? Not where the store has no eras. */
+/*
+ * Returns true while a configuration must be deferred: during the start, unless
+ * the store names no eras.
+ */
 bool entry_start_waits(const struct entry *);
-/* The one that waits, if any; takes over the reference. */
+/*
+ * Defers a configuration until other nodes have answered, replacing one that is
+ * deferred already. Takes over the reference.
+ */
 void entry_start_hold(struct entry *, struct route_table *, msec);
-/* A read that was sent then found none newer. */
+/* A read sent at time `asked` found no configuration newer than this. */
 void entry_start_hold_proof(struct entry *, msec asked);
-/* From the source: nodes that have announced themselves. */
+/* Called by the source with the nodes that are registered at the platform. */
 void entry_start_nodes(struct entry *, const struct vm *, unsigned int, msec);
-/* A message of kind SP_START_ASK or SP_START_TELL. */
+/* Handles a message of kind SP_START_ASK or SP_START_TELL. */
 void entry_start_receive(struct entry *, name_id from, uint32_t address,
     uint16_t port, const sp_msg *, msec);
 
--- a/entry-state.c
+++ b/entry-state.c
@@ -1,6 +1,7 @@
 /*
- * What is in force on this node: the configuration and how surely it is the
- * newest, the backend servers, the other nodes, and our own readiness.
+ * The state of an entry node: the configuration in force and whether it is
+ * proven to be the newest, the backend servers, the other nodes, the
+ * connection to the source, and the readiness of this node.
  */
 
 #define LOG_PART "state"
@@ -8,19 +9,20 @@
 
 #include <string.h>
 
-/* The state is looked after so often. */
+/* Interval of the periodic state update. */
 #define STATE_TICK_MS 100
 /*
- * A proof is taken to end so much before its bound: a request is judged, then
- * sent, then read by its server, and the clocks of two VMs do not run alike.
+ * A proof expires this long before its bound, because a request is sent and
+ * read by its server only after its key was checked, and because the clocks of
+ * two VMs run at different rates.
  */
 #define STATE_FRESH_MARGIN_MS 700
 /*
- * After the source is back, entries of servers that lapsed meanwhile return
- * within two seconds.
+ * After the source has answered again, servers whose registrations expired
+ * during the outage register again within two seconds.
  */
 #define STATE_HOLD_MS 2300
-/* Others hear of us this long before callers are sent here by name. */
+/* Load in permille that a node announces while it is not ready. */
 #define STATE_LOAD_FULL 1000
 
 struct retry_budget *
@@ -158,8 +160,8 @@
 }
 
 /*
- * By the wall clock, in which nodes number their starts. One whose clock is
- * ahead of ours seems not to have begun yet.
+ * An incarnation is the wall clock in microseconds at the start of a process.
+ * The age is negative if that node's clock is ahead of the local one.
  */
 msec
 entry_age(uint64_t incarnation)
@@ -167,7 +169,10 @@
 	return (g_get_real_time() - (int64_t)incarnation) / 1000;
 }
 
-/* Whoever takes work can coordinate; we are one as soon as we serve. */
+/*
+ * Passes the live nodes to placement, relay and poison detection. Nodes that
+ * take work can be coordinators; this node takes work while it is serving.
+ */
 static void
 state_push_nodes(struct entry *e, msec now)
 {
@@ -216,7 +221,7 @@
 void
 entry_take_table(struct entry *e, struct route_table *t, msec now)
 {
-	/* Never back, whatever a platform that lost its way says. */
+	/* Never go back to an older version, even if the platform does. */
 	if (e->table != NULL && t->version <= e->table->version) {
 		route_table_drop(t);
 		return;
@@ -225,7 +230,7 @@
 		entry_start_hold(e, t, now);
 		return;
 	}
-	/* Others know a newer one, which the store has lost. */
+	/* Other nodes have a newer version, which the store has lost. */
 	if (e->table == NULL && t->version < e->start.version) {
 		entry_log(&e->log, now, ENTRY_LOG_NEEDED, LOG_EVENT_ERA,
 		    LOG_TEXT(LOG_KEY_STATE, "older configuration"),
@@ -251,7 +256,6 @@
 	}
 }
 
-/* Is another node there that takes work? */
 bool
 entry_others_ready(const struct entry *e)
 {
@@ -297,7 +301,7 @@
 	return !e->table->keyed || fresh_holds(&e->fresh, now);
 }
 
-/* ---- start, time, stop ---- */
+/* ---- start, timer, stop ---- */
 
 void
 entry_state_apply(struct entry *e)
@@ -360,7 +364,7 @@
 	entry_era_tick(e, now);
 	members_set_self(&e->members, e->table != NULL ? e->table->version : 0,
 	    entry_is_ready(e, now) ? 0 : STATE_LOAD_FULL);
-	/* Others hear of us once we can serve. */
+	/* Other nodes learn of this node once it can serve. */
 	if (e->phase != ENTRY_STARTING)
 		members_tick(&e->members, now);
 	state_push_nodes(e, now);
