--- a/duty.c
+++ b/duty.c
@@ -1,5 +1,5 @@
 /*
- * One holder at a time; see duty.h.
+ * Leader election by conditional appends to a log; see duty.h.
  */
 
 #define LOG_PART "duty"
@@ -11,15 +11,15 @@
 
 #include <xxhash.h>
 
-/* Renewals in a lease: two may fail. */
+/* Renewals per lease; two in a row may fail. */
 #define DUTY_RENEWALS 3
-/* Clocks of two VMs differ in speed, and an order takes a while to arrive. */
+/* For clocks of VMs that run at different rates, and for orders in transit. */
 #define DUTY_MARGIN_MS 300
-/* One after the other, so that not all claim at once. */
+/* Delay between successors, so that not all of them claim at once. */
 #define DUTY_TURN_MS 300
-/* A node that starts hears of the others, and of a holder, by then. */
+/* A node that starts has learnt of the other nodes and of a holder by then. */
 #define DUTY_START_MS 1500
-/* After an append without an answer. */
+/* Delay after an append or search without an answer. */
 #define DUTY_RETRY_MS 400
 #define DUTY_TICK_MS 100
 
@@ -43,7 +43,7 @@
 	d->nnodes = 0;
 }
 
-/* ---- whose turn it is ---- */
+/* ---- order of succession ---- */
 
 static uint64_t
 duty_weight(name_id node)
@@ -83,8 +83,10 @@
 	return false;
 }
 
-/* Less comes first: standbys, then all by weight; the holder does not follow
- * itself. */
+/*
+ * Sort key in the order of succession, lowest first: standbys, then other
+ * nodes, each by weight. UINT64_MAX: not a successor.
+ */
 static uint64_t
 duty_order(const struct duty *d, const struct duty_node *n)
 {
@@ -94,7 +96,7 @@
 	       (duty_is_standby(d, n->id) ? 0 : 1ULL << 63);
 }
 
-/* How many come before us. */
+/* Number of successors before the local node. */
 static unsigned int
 duty_turn(const struct duty *d)
 {
@@ -141,7 +143,10 @@
 	return n != NULL && n->takes_work;
 }
 
-/* The next by weight, in another failure domain than those before if any is. */
+/*
+ * Choose the next standby by weight. Nodes in a failure domain that is already
+ * used come later; nodes younger than a lease come last.
+ */
 static name_id
 duty_pick(const struct duty *d, unsigned int have)
 {
@@ -184,7 +189,7 @@
 		d->standbys[i] = duty_pick(d, i);
 }
 
-/* ---- holding ---- */
+/* ---- holder ---- */
 
 uint64_t
 duty_token(const struct duty *d, msec now)
@@ -231,7 +236,7 @@
 {
 	bool held = d->token != 0;
 
-	log_debug("the log is of era %" PRIu64 " now", era);
+	log_debug("log rolled back, its era is now %" PRIu64, era);
 	if (held)
 		d->reclaim_until = d->until;
 	d->era = era;
@@ -315,10 +320,13 @@
 	if (!d->pending)
 		return;
 	d->pending = false;
-	/* It took longer than a lease: nothing is known by it. */
+	/*
+	 * This node began to leave while the append was in progress: it must
+	 * not become the holder again.
+	 */
 	if (how == DUTY_TAKEN && d->leaving && d->token == 0)
 		how = DUTY_UNKNOWN;
-	/* The end that it followed was the log's before it went back. */
+	/* The append was conditional on the log's end before the rollback. */
 	if (how == DUTY_TAKEN && d->sent_era != d->era)
 		how = DUTY_REFUSED;
 	switch (how) {
@@ -340,7 +348,10 @@
 		d->next = now;
 	if (d->token == 0)
 		return;
-	/* A renewal of ours that had no answer, or another's claim? */
+	/*
+	 * Either an earlier renewal was appended although its answer was lost,
+	 * or another node has claimed.
+	 */
 	d->pending = true;
 	d->ops->look(d);
 }
@@ -375,26 +386,29 @@
 	d->leaving = true;
 	if (d->token == 0)
 		return;
-	/* With an append under way the log's end is not known. */
+	/* While an append is in progress the log's end is unknown. */
 	if (!d->pending && now < d->until)
 		duty_beat(d, d->standbys[0]);
 	duty_lose(d, now);
 }
 
-/* ---- watching ---- */
+/* ---- other nodes ---- */
 
-/* When we may append to take it, as far as is known now. */
+/* Earliest time at which the local node may claim, as far as is known now. */
 static msec
 duty_claim_at(const struct duty *d)
 {
 	msec turn = (msec)duty_turn(d) * DUTY_TURN_MS, at;
 
-	/* A log that went back may be empty though somebody holds a lease. */
+	/* A log that was rolled back may be empty while a lease still runs. */
 	if (d->end_at == MSEC_NEVER && d->era != 0)
 		at = d->started + d->lease + DUTY_MARGIN_MS + turn;
 	else if (d->end_at == MSEC_NEVER)
 		at = d->started + DUTY_START_MS + turn;
-	/* Not back to who had it a moment ago, also in an earlier process. */
+	/*
+	 * The duty must not return at once to the node that released it, also
+	 * when its process has restarted.
+	 */
 	else if (d->released)
 		at = MAX(d->end_at + turn, d->started + d->lease);
 	else
@@ -409,7 +423,10 @@
 
 	if (d->leaving || d->pending || !duty_takes_work(d) || now < at)
 		return;
-	/* The first append tells where the log ends, or begins it. */
+	/*
+	 * If the end is unknown, append at 0: that succeeds in an empty log,
+	 * and a refusal reports the end.
+	 */
 	duty_append(d, now, d->end_at == MSEC_NEVER ? 0 : d->end, true);
 }
 
@@ -429,7 +446,7 @@
 		d->counters.dropped++;
 		return;
 	}
-	/* Of a holder before the newest, or of a log that has gone back. */
+	/* From an earlier holder, from an earlier era, or out of order. */
 	if (b->token < d->token_seen || era_token_era(b->token) < d->era ||
 	    (b->token == d->token_seen && b->end < d->end))
 		return;
@@ -457,7 +474,8 @@
 	}
 	if (!d->pending && now >= d->next)
 		duty_append(d, now, d->end, false);
-	/* One that cannot renew is silent, so that others take over. */
+	/* After its lease expires it sends no heartbeat, so others take over.
+	 */
 	if (now >= d->next_beat && now < d->until) {
 		d->next_beat = now + d->lease / DUTY_RENEWALS;
 		duty_beat(d, 0);
--- a/duty.h
+++ b/duty.h
@@ -1,23 +1,24 @@
 /*
- * Which node holds a duty that only one may have at a time, and the fencing
- * token that proves it. Nodes watch the holder by its beats; who takes over
- * appends to a log on the condition that it ends where the holder's newest
- * record ended. The log takes one append at a place, so the place is the token,
- * and it grows whatever the nodes believe of each other.
+ * Leader election for a duty, a role that only one node may hold at a time, and
+ * the fencing token of the holder. The holder broadcasts heartbeats. A node
+ * that takes over appends a claim to a log on the condition that the log still
+ * ends where the holder's newest record ended. The log accepts one append at
+ * each offset, so the offset serves as the token: it grows even if the nodes
+ * disagree about which of them are alive.
  *
- * The holder renews by another conditional append, and counts a renewal from
- * the moment it was sent. A node that has heard of a renewal waits for a whole
- * lease from then before it appends at the same place: if the holder has
- * renewed since, the log refuses; if not, its lease is over, by a clock that
- * runs on while a VM stands still.
+ * The holder renews its lease by another conditional append; the lease runs
+ * from the time at which that append was sent. A node that learns of a renewal
+ * waits for a whole lease before it appends at the same offset. If the holder
+ * has renewed in the meantime, the log refuses the append. If not, the lease
+ * has expired, by a clock that also advances while the VM is suspended.
  *
- * The log may go back to an older copy of itself and give its places out again;
- * see era.h. A token has the era before the place, so it grows all the same.
- * What was known of the log's end is void then: who wants to take over learns
- * it anew, and waits for a whole lease from there. Only the holder, while its
- * lease runs, may claim in the new era at once.
+ * The log may be restored from an older copy and then reuses offsets; see
+ * era.h. The era is in the upper bits of the token, so tokens grow
+ * nevertheless. The known end of the log is invalid after that: a node that
+ * wants to take over reads the end again and waits for a whole lease from then
+ * on. Only the holder may claim in the new era at once, while its lease runs.
  *
- * A core without input or output.
+ * This module does no I/O.
  */
 
 #ifndef DUTY_H
@@ -26,49 +27,51 @@
 #include "proto.h"
 #include "savory.h"
 
-/* Nodes that keep what the holder knows, and take over first. */
+/* Nodes that replicate the holder's state and are the first to take over. */
 #define DUTY_STANDBYS 2
 
 struct duty;
 
-/* How an append ended. */
+/* Outcome of a conditional append. */
 enum duty_result {
-	DUTY_TAKEN,   /* its first record stands where it was to stand */
+	DUTY_TAKEN,   /* its first record is at the expected offset */
 	DUTY_REFUSED, /* the log ends elsewhere; nothing was appended */
-	DUTY_UNKNOWN  /* no answer: it may have been, or may be yet */
+	DUTY_UNKNOWN /* no answer: the append may have succeeded or may still do
+			so */
 };
 
-/* What the core calls; all must be given. None may call back. */
+/* Callbacks; all are required. None may call duty_*() functions. */
 struct duty_ops {
-	/* Append if the log ends there; duty_appended() says how it ended. */
+	/* Append if the log ends at `at`; report by duty_appended(). */
 	void (*append)(struct duty *, uint64_t at, bool claim);
-	/* Find the newest claim in the log; then duty_looked(). */
+	/* Find the newest claim in the log; report by duty_looked(). */
 	void (*look)(struct duty *);
-	/* Send to a node; may be dropped. */
+	/* Send a message to a node; it may be lost. */
 	void (*send)(struct duty *, name_id, const sp_msg *);
-	/* We hold it from now on, or do not any more. */
+	/* The local node has become the holder, or has ceased to be. */
 	void (*changed)(struct duty *, msec, bool holds);
 };
 
-/* A node, ourselves too. */
+/* A live node. */
 struct duty_node {
 	name_id id;
 	name_id domain;
 	bool takes_work;
-	msec age; /* since its process began; less than 0: not known */
+	msec age; /* since its process started; negative: unknown */
 };
 
-/* Counters; all only grow. */
+/* Counters; none ever decreases. */
 struct duty_counters {
 	uint64_t claims, renewals, refused, unknown;
-	uint64_t lost;	  /* another holds it, or its token was refused */
-	uint64_t lapsed;  /* the lease ended before a renewal */
-	uint64_t rewound; /* the log went back while we held it */
-	uint64_t dropped; /* messages that cannot be right */
-	msec without;	  /* ms that no holder was known */
+	uint64_t lost;	  /* another node took over, or the token was refused */
+	uint64_t lapsed;  /* the lease expired before a renewal */
+	uint64_t rewound; /* the log was rolled back while this node was the
+			     holder */
+	uint64_t dropped; /* invalid messages */
+	msec without;	  /* ms without a known holder */
 };
 
-/* The core's state; one per node, in the embedder's memory. */
+/* State of the election on the local node; allocated by the caller. */
 struct duty {
 	const struct duty_ops *ops;
 	name_id self;
@@ -76,77 +79,84 @@
 	msec started;
 	unsigned int nnodes;
 	struct duty_node *nodes;
-	/* What we have heard. */
+	/* Learnt from heartbeats and from the log. */
 	name_id holder;	     /* 0: none */
-	uint64_t token_seen; /* the greatest */
+	uint64_t token_seen; /* greatest token seen */
 	uint64_t era;	     /* of the log */
-	uint64_t end;	     /* of the log */
-	msec end_at;	     /* when we heard so; MSEC_NEVER: never */
-	bool released;	     /* its holder has given it up there */
+	uint64_t end;	     /* end offset of the log */
+	msec end_at;	     /* when `end` was learnt; MSEC_NEVER: never */
+	bool released;	     /* the holder has released the duty at `end` */
 	name_id standbys[DUTY_STANDBYS];
-	/* Our own part. */
-	uint64_t token; /* 0: we are not the holder */
-	msec until;	/* end of our lease */
-	/* The lease of an era that is over still runs; we may claim at once. */
+	/* State of the local node. */
+	uint64_t token; /* 0: not the holder */
+	msec until;	/* end of its lease */
+	/*
+	 * End of its lease from an era that is over. Until then it may claim
+	 * again at once.
+	 */
 	msec reclaim_until;
-	bool continues; /* held without a break, in the era before too */
+	bool continues; /* held without interruption since an earlier era */
 	bool leaving;
-	bool pending; /* an append, or a look, is under way */
-	msec sent_at;
+	bool pending; /* an append or a search for the newest claim runs */
+	msec sent_at; /* time of the newest append */
 	uint64_t sent_end;
-	uint64_t sent_era; /* that the end was known in */
-	msec next;	   /* no append before */
-	msec next_beat;	   /* of the holder */
-	msec stood_down;   /* takes nothing before */
+	uint64_t sent_era; /* era of the log when it was sent */
+	msec next;	   /* earliest time of the next append */
+	msec next_beat;	   /* next heartbeat, as the holder */
+	msec stood_down;   /* makes no claim before this time */
 	bool lapsed;
 	msec ticked;
 	struct duty_counters counters;
-	void *arg; /* the embedder's */
+	void *arg; /* for the caller's use */
 };
 
-/* For a node's id, with the lease in ms; the end. */
+/* `self` is the local node's id, the lease is in ms. */
 void duty_init(
     struct duty *, const struct duty_ops *, name_id self, msec lease, msec now);
 void duty_finish(struct duty *);
-/* All live nodes, ourselves among them. */
+/* Set the list of live nodes; it includes the local node. */
 void duty_set_nodes(struct duty *, const struct duty_node *, unsigned int);
 /*
- * The holder, if one is known, and those that would follow it, in their order;
- * how many of so many.
+ * Write the holder, if one is known, and its successors in their order, at most
+ * so many ids. Returns the number written.
  */
 unsigned int duty_first(const struct duty *, name_id *, unsigned int most);
-/* A message of kind SP_DUTY_BEAT from a node that is a member. */
+/* Handle an SP_DUTY_BEAT message from a member. */
 void duty_receive(struct duty *, msec, name_id from, const sp_msg *);
 /*
- * An append ended: the place of its first record and the end after the last
- * when it was taken, the log's end when it was refused.
+ * Report the outcome of an append. DUTY_TAKEN: the offset of its first record
+ * and the log's end after the last one. DUTY_REFUSED: the log's end.
  */
 void
 duty_appended(struct duty *, msec, enum duty_result, uint64_t at, uint64_t end);
-/* The newest claim stands there, and the log's end; false: no answer. */
+/* Report the newest claim's offset and the log's end; !ok: no answer. */
 void duty_looked(struct duty *, msec, bool ok, uint64_t claim, uint64_t end);
-/* The first era of the log that is heard of. */
+/* Set the era of the log, as of the first answer. */
 void duty_set_era(struct duty *, uint64_t era);
 /*
- * The log has gone back and is of a new era: our token is void. The op
- * changed() says so; duty_reclaims() says then whether we are to hold it on.
+ * The log was rolled back and has a new era, so the local node's token is
+ * invalid. Calls changed() if this node was the holder; duty_reclaims() then
+ * returns whether it will claim again before its lease expires.
  */
 void duty_rewound(struct duty *, msec, uint64_t era);
 bool duty_reclaims(const struct duty *, msec);
-/* Is the newest claim in the log, at that place, ours? */
+/* Is the claim at this offset, the newest in the log, the local node's? */
 bool duty_is_claim(const struct duty *, uint64_t claim);
-/* The platform has seen a greater token than ours. */
+/* The platform has seen a greater token than the local node's. */
 void duty_refused(struct duty *, msec);
 /*
- * The token to act with now, or 0. To be asked right before each send, with
- * the time as it is then.
+ * The fencing token to use now, or 0 if the local node has no valid lease. Call
+ * this right before each send, with the current time.
  */
 uint64_t duty_token(const struct duty *, msec);
-/* Is a record of ours to be appended now, beside the usual renewals? */
+/* Append now, without waiting for the next renewal; only for the holder. */
 void duty_renew_now(struct duty *, msec);
-/* We are leaving, and nothing of ours is under way: another takes over. */
+/*
+ * The local node is leaving and has no work of the duty in progress: hand over
+ * to the first standby.
+ */
 void duty_leave(struct duty *, msec);
-/* Do what is due; when to call it next. */
+/* Run due work. Returns the time of the next call. */
 msec duty_tick(struct duty *, msec);
 
 #endif /* DUTY_H */
--- a/era.c
+++ b/era.c
@@ -1,12 +1,13 @@
 /*
- * Which answers of the store count; see era.h.
+ * Detects that the store was rolled back, from the era in its answers; see
+ * era.h.
  */
 
 #include "era.h"
 
 #include <xxhash.h>
 
-/* Bits of a token that hold the place in the log. */
+/* Bits of a token that contain the offset in the log. */
 #define ERA_TOKEN_BITS 32
 #define ERA_TOKEN_PLACE (((uint64_t)1 << ERA_TOKEN_BITS) - 1)
 
--- a/era.h
+++ b/era.h
@@ -1,23 +1,23 @@
 /*
- * The era of a store that may come back from a copy some seconds old. Each
- * time it does, it has lost what it acknowledged since that copy was made,
- * gives the same offsets out again, and counts one era more, which all its
- * answers name.
+ * The era of a store that may be restored from a copy some seconds old. On each
+ * restore the store loses what it acknowledged after the copy was made, reuses
+ * the same offsets, and increments its era. All its answers contain the era.
  *
- * Every reader and writer asks here what an answer is worth:
+ * Every reader and writer checks the era of an answer:
  *
- * - An answer of the newest era counts.
- * - The first of a greater era counts, and what was read before it has to be
- *   read anew, whatever its offset: see ERA_ROSE.
- * - One of a lesser era, or with none where others had one, says nothing: it
- *   has waited on its way, or is not the store's.
- * - A store that never names an era never goes back: its era is 0.
+ * - An answer of the newest known era is valid.
+ * - The first answer of a greater era is valid, but everything read before it
+ *   must be read again, at any offset: see ERA_ROSE.
+ * - An answer of a lesser era, or of none where others had one, is ignored: it
+ *   was delayed, or does not come from the store.
+ * - A store whose answers never contain an era is never rolled back: its era
+ *   is 0.
  *
- * Those who write to the store need a while to write again what was lost.
- * Until they had it, the newest that the store has may be older than what it
- * once acknowledged: see era_settled().
+ * Writers need some time to write the lost data again. Until then, the newest
+ * data in the store may be older than data that it once acknowledged: see
+ * era_settled().
  *
- * A core without input or output.
+ * This module does no I/O.
  */
 
 #ifndef ERA_H
@@ -25,60 +25,60 @@
 
 #include "savory.h"
 
-/* A token must stay under 2^53, so that it passes through any JSON. */
+/* Keeps tokens below 2^53, which every JSON parser represents exactly. */
 #define ERA_MAX ((uint64_t)(1 << 21) - 1)
-/* The age of an era of which nothing has been heard. */
+/* Age of an era while none is known. */
 #define ERA_AGE_UNKNOWN UINT32_MAX
 
-/* What an answer is worth. */
+/* What to do with an answer of the store. */
 enum era_verdict {
-	ERA_SAME, /* take it */
-	ERA_ROSE, /* take it, and read all else anew */
-	ERA_OLD	  /* nothing is to be learned from it */
+	ERA_SAME, /* use it */
+	ERA_ROSE, /* use it, and read everything else again */
+	ERA_OLD	  /* ignore it */
 };
 
-/* Counters; all only grow. */
+/* Counters; none ever decreases. */
 struct era_counters {
-	uint64_t changes; /* answers that began an era */
-	uint64_t old;	  /* answers of an era that is over */
-	uint64_t unnamed; /* answers without an era where there are eras */
+	uint64_t changes; /* answers with a greater era than before */
+	uint64_t old;	  /* answers of an earlier era */
+	uint64_t unnamed; /* answers without an era from a store that has one */
 };
 
-/* In the embedder's memory. */
+/* The newest known era of one store. */
 struct era {
-	uint64_t number; /* the newest; 0: none was ever named */
-	bool heard;	 /* an answer has come */
-	msec since;	 /* it has lasted since then at least */
+	uint64_t number; /* 0: no answer contained an era */
+	bool heard;	 /* an answer was received */
+	msec since;	 /* latest time at which the era can have begun */
 	struct era_counters counters;
 };
 
-/* Nothing has been heard. */
+/* No answer has been received yet. */
 void era_init(struct era *);
-/* An answer of the store names this era; 0: it names none that can be read. */
+/* Handle the era of an answer from the store; 0: none, or not readable. */
 enum era_verdict era_heard(struct era *, msec now, uint64_t number);
-/* Another node, or the store, shows that the era has lasted so many ms. */
+/* Another node or the store reports that the era is at least so many ms old. */
 void era_told(struct era *, msec now, uint64_t number, uint32_t age_ms);
-/* For other nodes: how long it has lasted at least, or ERA_AGE_UNKNOWN. */
+/* Minimum age of the era in ms, for other nodes, or ERA_AGE_UNKNOWN. */
 uint32_t era_age(const struct era *, msec now);
 /*
- * What a read that was sent then has found is the newest, given that what was
- * lost is written again within so many ms of the store's return. An era that is
- * met at the start may have begun just before.
+ * Whether a read sent at the time `then` returned the newest data, if writers
+ * restore lost data within `rewrite` ms after the store is rolled back. The
+ * first era that a node learns of may have begun just before.
  */
 bool era_settled(const struct era *, msec then, msec rewrite);
 /*
- * Marks are compared between nodes. Of two eras they differ, so that a word
- * about one proves nothing in the other.
+ * Mix the era into a mark (a hash of read data that nodes compare), so that a
+ * mark from one era never matches one from another.
  */
 uint64_t era_mark(const struct era *, uint64_t mark);
 
 /*
- * A number that grows with the place of a record in the log, also when the log
- * has gone back and gives that place out again. Never 0.
+ * A number that increases with the offset of a record in the log, also after
+ * the log was rolled back and reuses offsets. Never 0.
  */
 uint64_t era_token(uint64_t era, uint64_t place);
 uint64_t era_token_era(uint64_t token);
-/* Offset after the record. */
+/* The offset after the record, which is the lower half of the token. */
 uint64_t era_token_end(uint64_t token);
 
 #endif /* ERA_H */
--- a/fresh.h
+++ b/fresh.h
@@ -1,8 +1,10 @@
 /*
- * How old the proof is that the configuration in force here is the newest.
- * Where keys that are taken away must stop working within a bound, a node
- * that was cut off, paused or refused by the platform does not know whether a
- * key still holds; it must then refuse rather than let it through.
+ * Age of the last proof that the configuration in force on this node is the
+ * newest one. Revoked keys must stop working within a time limit. A node that
+ * was partitioned, paused or refused by the platform cannot tell whether a key
+ * is still valid, so it must refuse all keys once its proof is too old.
+ *
+ * relay.c distributes such proofs between nodes.
  */
 
 #ifndef FRESH_H
@@ -10,23 +12,24 @@
 
 #include "savory.h"
 
-/* A node's proof. */
+/* The newest proof of the local node. */
 struct fresh {
-	msec proven; /* MSEC_NEVER: no proof yet */
-	msec bound;  /* a proof holds for so long; 0: for ever */
+	msec proven; /* time of the proof; MSEC_NEVER: none yet */
+	msec bound;  /* validity of a proof; 0: unlimited */
 };
 
-/* Without a proof, with the bound in milliseconds. */
+/* Start without a proof; the bound is in ms. */
 void fresh_init(struct fresh *, msec bound);
 /*
- * The newest configuration was read, and is in force: when the read was sent.
- * An answer may have waited long on its way, and we may have been paused
- * before we read it, so only the moment of asking bounds its age.
+ * The newest configuration was read and is in force; `asked` is when the read
+ * request was sent. The answer may have been delayed, and the local node may
+ * have been paused before it processed the answer, so only the time of the
+ * request bounds the age of the data.
  */
 void fresh_prove(struct fresh *, msec asked);
-/* May a key be honoured now? */
+/* Whether keys may be accepted now: the proof is younger than the bound. */
 bool fresh_holds(const struct fresh *, msec now);
-/* Age of the proof; MSEC_NEVER without one. */
+/* Age of the proof in ms; MSEC_NEVER without one. */
 msec fresh_age(const struct fresh *, msec now);
 
 #endif /* FRESH_H */
--- a/lease.c
+++ b/lease.c
@@ -1,5 +1,5 @@
 /*
- * Leases through the log, and one node's part in one; see lease.h.
+ * Leases kept in the log, and the local node's claims; see lease.h.
  */
 
 #define LOG_PART "lease"
@@ -89,7 +89,7 @@
 
 	if (first <= f->next)
 		return;
-	log_info("records before %" PRIu64 " of the leases were missed", first);
+	log_info("lease records before offset %" PRIu64 " are missing", first);
 	f->next = first;
 	f->blind = MAX(f->blind, wall);
 	f->gap_at = now;
@@ -133,7 +133,7 @@
 	       log_record_hex(o, "incarnation", incarnation);
 }
 
-/* At the log's time of the newest record: is certainly nothing in force? */
+/* Whether there is certainly no lease in force at the newest record's time. */
 static bool
 fold_knows_none(const struct lease_fold *f, const struct lease *l)
 {
@@ -142,7 +142,7 @@
 	return (l != NULL && l->certain) || f->blind < f->wall - LEASE_FORGET;
 }
 
-/* Is this the first claim on one that was read but could not be judged? */
+/* Whether this is the first claim that replaces a claim in `unjudged`. */
 static bool
 claim_on_unjudged(const struct lease *l, uint64_t replaces)
 {
@@ -158,8 +158,9 @@
 }
 
 /*
- * Remember a claim. When the oldest is dropped, a claim on it is not judged
- * either; the claims on a younger one are all still here.
+ * Store a claim that cannot be judged. If the oldest is dropped, a claim that
+ * replaces it cannot be judged either; all claims that replace a younger one
+ * are still stored.
  */
 static void
 claim_unjudged(struct lease *l, uint64_t offset, uint64_t replaces)
@@ -187,13 +188,13 @@
 	return claim_on_unjudged(l, replaces);
 }
 
-/* Not accepted, or not known to be. */
+/* Handle a claim that is rejected or cannot be judged. */
 static void
 claim_rejected(struct lease_fold *f, struct lease *l, const char *service,
     uint64_t offset, uint64_t replaces)
 {
 	if (fold_knows_none(f, l)) {
-		/* What was in force is forgotten; claim on 0 now. */
+		/* The lease has been forgotten; the next claim replaces 0. */
 		if (l != NULL)
 			lease_free(f, l);
 		return;
@@ -213,7 +214,8 @@
 	name_id holder;
 	struct lease *l;
 
-	/* No term is longer than what challengers wait out. */
+	/* A challenger waits at most LEASE_TERM, so a longer term is invalid.
+	 */
 	if (!record_decode(o, &service, &replaces, &holder, &incarnation) ||
 	    !log_record_uint(o, "term_ms", &term) || term > LEASE_TERM) {
 		f->skipped++;
@@ -221,8 +223,8 @@
 	}
 	l = lease_get(f, service, false);
 	if (!claim_accepted(f, l, replaces)) {
-		log_debug("claim %" PRIu64 " on %s is not the first", offset,
-		    service);
+		log_debug(
+		    "claim %" PRIu64 " on %s not accepted", offset, service);
 		claim_rejected(f, l, service, offset, replaces);
 		return;
 	}
@@ -237,7 +239,7 @@
 	l->read_at = now;
 	l->wall = f->wall;
 	g_strlcpy(l->id, log_record_id(o), sizeof l->id);
-	log_debug("claim %" PRIu64 " on %s is in force", offset, service);
+	log_debug("claim %" PRIu64 " on %s accepted", offset, service);
 }
 
 static void
@@ -312,11 +314,11 @@
 }
 
 /*
- * The failure met here: no clock is shared, and the holder may be paused. The
- * holder counts its term from before it sent its claim, a challenger from
- * when it read it, which is later, and adds a margin for clocks of other
- * speeds. So a challenger claims only after the term is over for the holder,
- * also when the record reached it late.
+ * Nodes share no clock, and the holder may be paused. The holder counts its
+ * term from before it sent the claim. A challenger counts it from when it read
+ * the claim, which is later, and adds a margin for clock drift. So a challenger
+ * claims only after the term has ended at the holder, also if the record
+ * reached the challenger late.
  */
 enum lease_act
 lease_user_tick(const struct lease_user *u, msec now, struct lease_fold *f,
@@ -326,11 +328,12 @@
 
 	if (u->leaving)
 		return LEASE_NOTHING;
-	/* A claim that lands later than this is of no use any more. */
+	/* A claim appended later than this leaves too little of its term. */
 	if (u->pending && now < u->asked_at + LEASE_TERM / 2)
 		return LEASE_NOTHING;
 	if (l == NULL) {
-		/* Not known: wait until whatever it was is forgotten. */
+		/* Unknown: wait until every fold has forgotten the old lease.
+		 */
 		if (f->blind != -MSEC_NEVER &&
 		    now < f->gap_at + LEASE_FORGET + LEASE_MARGIN)
 			return LEASE_NOTHING;
@@ -361,10 +364,10 @@
 }
 
 /*
- * The failure met here: engines that don't check fencing numbers obey a late
- * order of the last holder after one of this holder. Before the first order
- * to them, a term and the longest order pass, unless the last holder said
- * that it was through.
+ * Engines that do not check fencing numbers would execute a delayed order of
+ * the previous holder after one of this holder. So this node waits for a term
+ * and the longest order before its first order to them; only for the longest
+ * order if the previous holder released the lease.
  */
 static void
 user_accepted(struct lease_user *u, msec now, const struct lease *l)
@@ -378,15 +381,16 @@
 	u->unfenced_from = now + LEASE_ORDER_TIMEOUT;
 	if (!u->took_released)
 		u->unfenced_from += LEASE_TERM + LEASE_MARGIN;
-	log_info("%s: lease held, number %" PRIu64, u->service, u->fencing);
+	log_info("%s: lease acquired, fencing number %" PRIu64, u->service,
+	    u->fencing);
 }
 
 /*
- * The failure met here: a claim is given up, sent again, and the first one
- * has been taken after all. Its term began earlier than that of the second,
- * and orders at its end would cross those of the next holder. Only the claim
- * that was sent last gives a term; of an earlier one, the lease is ours and
- * has to be claimed anew.
+ * A claim that timed out and was sent again may have been accepted in its first
+ * copy. The term of that copy began earlier than that of the second, so orders
+ * near its end would overlap with those of the next holder. Only the claim that
+ * was sent last starts a term. If an earlier one was accepted, this node is the
+ * holder in the fold, but has to claim again before it sends orders.
  */
 void
 lease_user_folded(struct lease_user *u, msec now, struct lease_fold *f)
@@ -394,7 +398,8 @@
 	struct lease *l = lease_fold_find(f, u->service);
 
 	if (l == NULL) {
-		/* Forgotten or not known: a claim on what was is lost. */
+		/* A claim that replaces a forgotten record cannot be accepted.
+		 */
 		u->fencing = 0;
 		u->pending = u->pending && u->replaces == 0;
 		return;
@@ -423,7 +428,7 @@
 	u->leaving = true;
 }
 
-/* A paused holder wakes, finds the term gone on this clock, and stops. */
+/* A holder that was paused finds here that its term has ended. */
 bool
 lease_user_may_order(const struct lease_user *u, msec now, bool fenced)
 {
--- a/lease.h
+++ b/lease.h
@@ -1,21 +1,24 @@
 /*
- * The lease on a service's placement, through the log: a claim names the
- * lease record it replaces, and the fold takes the first claim on it. The
- * fencing number is the offset of the accepted claim. A core without input or
- * output.
+ * The lease on a service's placement, kept in the log: a claim contains the
+ * offset of the lease record that it replaces, and of several claims that
+ * replace the same record the first one is accepted. The fencing number is the
+ * offset of the accepted claim. This module does no I/O.
+ *
+ * A fold is the state computed from the records read so far, in log order.
  *
  * Records (see log-record.h):
  *
  * {"kind": "lease-claim", "service", "replaces", "holder", "incarnation",
  *  "term_ms"}
- *	Accepted if it replaces the record in force: 0 when there is none, or
- *	when the last is older than LEASE_FORGET by the log's time.
+ *	Accepted if it replaces the record in force: 0 if there is none, or
+ *	if the last one is older than LEASE_FORGET by the log's clock.
  * {"kind": "lease-release", "service", "replaces", "holder", "incarnation"}
- *	The holder's own; a claim on it need not wait for the term's end.
+ *	Written by the holder; a claim that replaces a released lease need
+ *	not wait until its term ends.
  *
- * A fold that misses earlier records does not know what is in force until it
- * reads a claim on a claim that it has read: its writer, which knew, took
- * that one for the one in force.
+ * A fold that misses earlier records cannot determine the record in force until
+ * it reads a claim that replaces another claim it has read: the writer of the
+ * later claim had a complete fold, in which the earlier one was in force.
  */
 
 #ifndef LEASE_H
@@ -24,30 +27,30 @@
 #include "log-record.h"
 #include "savory.h"
 
-/* How long a claim or renewal holds. */
+/* Term of a claim or renewal. */
 #define LEASE_TERM (10 * MSEC_SECOND)
-/* Clocks may differ in speed by this much over a term, and then some. */
+/* Exceeds the drift between the clocks of two nodes over a term. */
 #define LEASE_MARGIN (2 * MSEC_SECOND)
-/* The longest an order may take, from its check to its last effect. */
+/* Maximum time from the check of an order to its last effect. */
 #define LEASE_ORDER_TIMEOUT (2 * MSEC_SECOND)
-/* A lease that old is over for every fold; far below the log's retention. */
+/* Every fold forgets a lease of this age; far below the log's retention. */
 #define LEASE_FORGET (120 * MSEC_SECOND)
 #define LEASE_UNJUDGED_MAX 8
 
-/* The lease of one service as folded. */
+/* The lease of one service in the fold. */
 struct lease {
 	RB_ENTRY(lease) entry;
 	char service[NAME_SIZE];
-	bool certain;	  /* the fold knows what is in force */
+	bool certain;	  /* the record in force is known */
 	uint64_t fencing; /* offset of the accepted claim; 0: none */
 	name_id holder;
 	uint64_t incarnation;
 	bool released;
 	msec term;
 	msec read_at;	      /* when this node read the claim */
-	msec wall;	      /* the log's time of the last claim */
+	msec wall;	      /* time of the last claim by the log's clock */
 	char id[LOG_ID_SIZE]; /* of the accepted claim */
-	/* Claims read while not certain. */
+	/* Claims read while the record in force was unknown. */
 	struct {
 		uint64_t offset;
 		uint64_t replaces;
@@ -61,68 +64,75 @@
 	struct lease_tree leases;
 	uint64_t next;
 	uint64_t skipped;
-	msec wall;   /* newest log's time read */
-	msec blind;  /* records up to this log's time may be missing */
-	msec gap_at; /* when this node learnt of that */
+	msec wall;   /* newest time by the log's clock that was read */
+	msec blind;  /* records up to this time by its clock may be missing */
+	msec gap_at; /* when this node detected the gap */
 };
 
-/* A fold that has read nothing; its end. */
+/* Start with an empty fold; free it. */
 void lease_fold_init(struct lease_fold *);
 void lease_fold_finish(struct lease_fold *);
-/* Fold one record: local time now, offset, the log's time, data, length. */
+/* Apply a record: local time, offset, time by the log's clock, data, length. */
 void lease_fold_apply(
     struct lease_fold *, msec, uint64_t, msec, const char *, size_t);
 /*
- * At the local time `now`: records before the offset are gone, the newest
- * appended at the given log's time or before; see ledger_fold_gap().
+ * Records before an offset are not available. Arguments: the local time, the
+ * offset, and a time by the log's clock at or after the newest of these
+ * records; see ledger_fold_gap().
  */
 void lease_fold_gap(struct lease_fold *, msec, uint64_t, msec);
-/* What is in force, or NULL when that is nothing or not known. */
+/* The lease in force for a service, or NULL if there is none or unknown. */
 struct lease *lease_fold_find(struct lease_fold *, const char *);
-/* A claim or renewal to append: service, replaced offset, holder, inc, id. */
+/*
+ * Encode a claim or renewal: service, offset of the replaced record, holder,
+ * incarnation, term in ms, record id.
+ */
 char *lease_claim_encode(
     const char *, uint64_t, name_id, uint64_t, msec, const char *);
 char *
 lease_release_encode(const char *, uint64_t, name_id, uint64_t, const char *);
 
-/* One node's part in the lease of one service. */
+/* What a node has to do for the lease of one service. */
 enum lease_act {
 	LEASE_NOTHING,
 	LEASE_CLAIM, /* append a claim that replaces `replaces` */
-	LEASE_RENEW  /* the same, of a lease that is held */
+	LEASE_RENEW  /* the same, while holding the lease */
 };
 
-/* What a node knows of its own part; set up by lease_user_init(). */
+/* State of the local node as holder or challenger; see lease_user_init(). */
 struct lease_user {
 	char service[NAME_SIZE];
 	name_id self;
 	uint64_t incarnation;
-	uint64_t fencing;     /* 0 unless we hold it */
-	msec until;	      /* end of our term; ours only */
-	bool leaving;	      /* it has been released for good */
-	bool pending;	      /* a claim is on its way */
-	char id[LOG_ID_SIZE]; /* its id */
-	uint64_t replaces;    /* what it replaces */
-	bool took_released;   /* and whether that was released */
-	msec asked_at;	      /* before that append was sent */
-	msec unfenced_from;   /* first order to engines that don't check */
+	uint64_t fencing;     /* 0: this node is not the holder */
+	msec until;	      /* end of its term, if it is the holder */
+	bool leaving;	      /* released; makes no further claim */
+	bool pending;	      /* a claim was sent and not read back yet */
+	char id[LOG_ID_SIZE]; /* record id of that claim */
+	uint64_t replaces;    /* offset of the record that it replaces */
+	bool took_released;   /* that record had been released */
+	msec asked_at;	      /* time before the append of the claim was sent */
+	msec unfenced_from;   /* orders to engines without fencing from here */
 };
 
-/* For a service, our node id and our incarnation. */
+/* Arguments: the service, the local node's id and its incarnation. */
 void lease_user_init(struct lease_user *, const char *, name_id, uint64_t);
-/* What to do now, given the fold; fills in the offset to replace. */
+/* Return what to do now; stores the offset of the record to replace. */
 enum lease_act lease_user_tick(
     const struct lease_user *, msec, struct lease_fold *, uint64_t *);
-/* Right before the append is sent: now, what it replaces, its id. */
+/*
+ * Call right before a claim is sent, with the time, the offset of the replaced
+ * record and the claim's record id.
+ */
 void lease_user_sent(
     struct lease_user *, msec, struct lease_fold *, uint64_t, const char *);
-/* The fold has changed. */
+/* Update the state after a record was applied to the fold. */
 void lease_user_folded(struct lease_user *, msec, struct lease_fold *);
-/* The append certainly failed; the lease is as before. */
+/* The claim was certainly not appended; the lease is unchanged. */
 void lease_user_failed(struct lease_user *);
-/* Before a release is appended: from here on no order and no claim goes out. */
+/* Call before a release is appended: forbids any further order or claim. */
 void lease_user_release(struct lease_user *);
-/* May an order go out now, to an engine that checks fencing or not? */
+/* Whether an order may be sent now; last: the engine checks fencing numbers. */
 bool lease_user_may_order(const struct lease_user *, msec, bool);
 
 RB_PROTOTYPE(lease_tree, lease, entry, lease_cmp)
--- a/ring.c
+++ b/ring.c
@@ -1,5 +1,5 @@
 /*
- * Hand-over between threads; see ring.h.
+ * Queue between threads; see ring.h.
  */
 
 #define LOG_PART "ring"
@@ -11,9 +11,9 @@
 #include <unistd.h>
 
 /*
- * ThreadSanitizer does not see the ordering in Concurrency Kit's fences and
- * would report every hand-over as a race. Telling it of the one that the
- * ring gives keeps its reports about our own code true.
+ * ThreadSanitizer does not support the memory fences of Concurrency Kit and
+ * would report each transfer of a pointer as a data race. These annotations
+ * declare the ordering that the ring guarantees.
  */
 #ifdef __SANITIZE_THREAD__
 void __tsan_acquire(void *);
@@ -56,7 +56,7 @@
 	if (!ck_ring_enqueue_mpsc(&r->ck, r->slots, p))
 		return false;
 	if (write(r->wake_fd, &one, sizeof one) == -1)
-		log_debug("wake-up is already pending");
+		log_debug("eventfd is already signalled");
 	return true;
 }
 
@@ -77,5 +77,5 @@
 	uint64_t n;
 
 	if (read(r->wake_fd, &n, sizeof n) == -1)
-		log_debug("woken without a wake-up");
+		log_debug("eventfd was not signalled");
 }
--- a/ring.h
+++ b/ring.h
@@ -1,6 +1,6 @@
 /*
- * A bounded queue that hands pointers from many threads to one: Concurrency
- * Kit's ring with an eventfd to wake the reader.
+ * A bounded multi-producer, single-consumer queue of pointers: Concurrency
+ * Kit's ring buffer with an eventfd that wakes the consumer.
  */
 
 #ifndef RING_H
@@ -10,21 +10,21 @@
 
 #include <ck_ring.h>
 
-/* The ring; in the embedder's memory. */
+/* The queue; allocated by the caller. */
 struct ring {
 	ck_ring_t ck;
 	ck_ring_buffer_t *slots;
-	int wake_fd; /* readable while there may be more */
+	int wake_fd; /* readable while the queue may contain pointers */
 };
 
-/* `size` is a power of two. Returns false when it cannot be had. */
+/* The size is a power of two. False: no memory or no eventfd. */
 bool ring_init(struct ring *, unsigned int);
 void ring_finish(struct ring *);
-/* From any thread. False when the ring is full; nothing has been queued. */
+/* Add a pointer; from any thread. False: the ring is full. */
 bool ring_put(struct ring *, void *);
-/* From the one reading thread. NULL when empty. */
+/* Remove the oldest pointer; consumer thread only. NULL when empty. */
 void *ring_get(struct ring *);
-/* Reader: clear the eventfd before draining the ring. */
+/* Reset the eventfd; the consumer calls it before it empties the ring. */
 void ring_clear_wake(struct ring *);
 
 #endif /* RING_H */
--- a/ticket.c
+++ b/ticket.c
@@ -1,11 +1,11 @@
 /*
- * Tickets; see ticket.h. The text is base64url of a fixed head, the node's
- * name and a truncated HMAC-SHA256 over both.
+ * Tickets; see ticket.h. The text form is the base64url encoding of a header of
+ * fixed size, the node's name and a truncated HMAC-SHA256 over both.
  *
- * Serials go up with time, so used tickets can be remembered in blocks of
- * consecutive serials, and forgetting is dropping the oldest blocks. An issued
- * ticket costs nothing until it is used. Below `floor` nothing is remembered
- * and nothing runs: such a ticket is expired, never run twice.
+ * Serial numbers increase with time, so used tickets are recorded in blocks of
+ * consecutive serial numbers, and the oldest blocks are dropped first. A ticket
+ * takes no memory until it is used. Tickets below `floor` are not recorded and
+ * count as expired, so none of them is executed twice.
  */
 
 #define LOG_PART "ticket"
@@ -15,21 +15,21 @@
 #include <string.h>
 
 #define TICKET_FORMAT 1
-/* Format, incarnation, serial, issue time, organisation, length of name. */
+/* Format, incarnation, serial, time of issue, organisation, length of name. */
 #define TICKET_HEAD_SIZE (1 + 8 + 8 + 8 + 8 + 1)
 #define TICKET_RAW_MAX (TICKET_HEAD_SIZE + NAME_LEN + MAC_SIZE)
-/* Keeps its MACs apart from those of messages under the same key. */
+/* Domain separation from the MACs of messages under the same key. */
 #define TICKET_PURPOSE "savorypier ticket"
 
 #define TICKET_BLOCK_SIZE 32
 
-/* The uses of TICKET_BLOCK_SIZE consecutive serials. */
+/* The used tickets among TICKET_BLOCK_SIZE consecutive serial numbers. */
 struct ticket_block {
 	RB_ENTRY(ticket_block) entry;
 	uint64_t number; /* serial / TICKET_BLOCK_SIZE */
-	msec issued;	 /* the youngest ticket of it that was used */
-	uint32_t used;	 /* one bit a serial */
-	uint64_t body[TICKET_BLOCK_SIZE];
+	msec issued;	 /* latest time of issue of a used ticket */
+	uint32_t used;	 /* one bit per serial */
+	uint64_t body[TICKET_BLOCK_SIZE]; /* hashes */
 };
 RB_HEAD(ticket_block_tree, ticket_block);
 
@@ -40,7 +40,7 @@
 	uint64_t floor;
 };
 
-/* A ticket with what only its issuer looks at. */
+/* A decoded ticket, with the time of issue that only its issuer reads. */
 struct ticket_full {
 	struct ticket ticket;
 	msec issued;
@@ -154,7 +154,7 @@
 	ticket_text(raw, (size_t)(p - raw) + MAC_SIZE, text);
 }
 
-/* The bytes of a text, or NULL; only letters that we write are taken. */
+/* Decode base64url; NULL if the text has characters outside its alphabet. */
 static uint8_t *
 ticket_raw(const char *text, size_t *len)
 {
@@ -198,7 +198,10 @@
 	ticket_mac(key, raw, len, mac);
 	if (!mac_equal(mac, raw + len) || raw[0] != TICKET_FORMAT)
 		return false;
-	/* One ticket has one text: unused bits of the last letter are zero. */
+	/*
+	 * Accept only the canonical text: base64 decoders ignore the unused
+	 * bits of the last character, so other texts would decode as well.
+	 */
 	ticket_text(raw, len + MAC_SIZE, again);
 	if (strcmp(text, again) != 0)
 		return false;
@@ -247,7 +250,7 @@
 	return block;
 }
 
-/* Tickets below the floor never run, so their uses need not be known. */
+/* Tickets below the floor have expired, so their uses need no record. */
 static void
 ticket_make_room(struct ticket_book_data *d)
 {
@@ -255,7 +258,7 @@
 
 	if (d->nblocks <= TICKET_BLOCKS_MAX)
 		return;
-	log_debug("too many uses, the oldest tickets expire early");
+	log_debug("too many used tickets, the oldest expire early");
 	block = RB_MIN(ticket_block_tree, &d->blocks);
 	d->floor = MAX(d->floor, (block->number + 1) * TICKET_BLOCK_SIZE);
 	ticket_block_drop(d, block);
