--- a/ledger-home.c
+++ b/ledger-home.c
@@ -1,6 +1,6 @@
 /*
- * The home of a ledger shard: gathers claims into records and answers them
- * from what is read back; see ledger.h.
+ * The home of a ledger shard: collects claims into batch records and answers
+ * them when the records are read back from the log; see ledger.h.
  */
 
 #define LOG_PART "ledger"
@@ -24,7 +24,7 @@
 
 RB_GENERATE(ledger_pending_tree, ledger_pending, entry, pending_cmp)
 
-/* By request; a claim and its end are two things. */
+/* Sort by request and status: a claim and its end are separate entries. */
 static int
 pending_cmp(struct ledger_pending *a, struct ledger_pending *b)
 {
@@ -106,9 +106,10 @@
 }
 
 /*
- * Out of time or out of office. A claim that some record carried may still
- * land, and may be read back as the first by another home, so it is
- * undecided; any other is certainly not on the log.
+ * Finish an entry that timed out, or when the home stops or the log is down. A
+ * claim that was in a record may still be appended, and another home may read
+ * it back as the first, so it is undecided. Any other claim is certainly not in
+ * the log.
  */
 static void
 pending_give_up(struct ledger_home *h, struct ledger_pending *p)
@@ -126,12 +127,12 @@
 {
 	struct ledger_pending *p;
 
-	/* The entry node asked again since an answer took long. */
+	/* The entry node sent the claim again, as the answer took long. */
 	if (pending_find(h, c) != NULL)
 		return;
 	/*
-	 * A key that is taken needs no record to say so. This holds also for
-	 * a claim which another home has appended and this one has read.
+	 * If the key is already claimed, answer without a further record. The
+	 * first claim may be this one, appended by another home and read here.
 	 */
 	if (c->status == 0 &&
 	    ledger_fold_find(&h->fold, c->organisation, c->key) != NULL) {
@@ -218,7 +219,7 @@
 	return next;
 }
 
-/* An end is worth another try; whoever waits for it is long gone. */
+/* Ends are sent again after a failure, as no caller waits for an answer. */
 static void
 pending_requeue(struct ledger_home *h, struct ledger_pending *p)
 {
@@ -229,9 +230,9 @@
 }
 
 /*
- * An append that is done is not an answer yet: its claims are judged when
- * they are read back. One whose outcome is unknown may land at any time, so
- * its claims stay until they are read back or time out.
+ * After a successful append the claims are answered when they are read back
+ * from the log. An append with unknown outcome may succeed at any later time,
+ * so its claims stay pending until they are read back or time out.
  */
 void
 ledger_home_appended(
@@ -285,7 +286,7 @@
 	h->down = down;
 	if (!down)
 		return;
-	/* What no record has carried is certainly not on the log. */
+	/* Claims that were in no record are certainly not in the log. */
 	TAILQ_FOREACH_SAFE (p, &h->queued, list_entry, next) {
 		if (p->claim.status == 0)
 			pending_give_up(h, p);
--- a/ledger.c
+++ b/ledger.c
@@ -1,5 +1,5 @@
 /*
- * The ledger's fold: which claim of a key was first; see ledger.h.
+ * The ledger's fold, which finds the first claim of each key; see ledger.h.
  */
 
 #define LOG_PART "ledger"
@@ -10,7 +10,7 @@
 
 #include <xxhash.h>
 
-/* The members of a claim in a record. */
+/* Indexes of the members of a claim's array in a record. */
 enum claim_member {
 	MEMBER_ORGANISATION,
 	MEMBER_KEY,
@@ -39,8 +39,8 @@
 RB_GENERATE(ledger_claim_tree, ledger_claim, entry, claim_cmp)
 
 /*
- * By key, then by request: the tree of first claims is searched with a zero
- * request, since it holds one claim a key.
+ * Sort by key, then by request. The tree of first claims contains one claim per
+ * key and is searched with a request of zero.
  */
 static int
 claim_cmp(struct ledger_claim *a, struct ledger_claim *b)
@@ -162,10 +162,10 @@
 }
 
 /*
- * The failure met here: an entry node gives a claim up while its append is
- * still under way, and the claim lands after it was taken back. It shows as
- * a key that nobody runs and nobody can use. What was taken back is
- * remembered, and such a claim is passed over.
+ * An entry node may withdraw a claim while the append is still in progress, so
+ * that the log has the claim after its withdrawal. That would leave a key that
+ * no node executes and no request can use. So withdrawn claims are stored, and
+ * a later record of such a claim is ignored.
  */
 static void
 fold_claim(struct ledger_fold *f, const struct ledger_claim *c)
@@ -189,7 +189,7 @@
 			first->status = c->status;
 		return;
 	}
-	/* A request that ended has run; it can't be taken back. */
+	/* A request that ended was executed; its claim cannot be withdrawn. */
 	if (first != NULL && first->status != 0)
 		return;
 	if (first != NULL)
@@ -204,7 +204,7 @@
 {
 	unsigned int i;
 
-	/* A log whose clock steps back must not make claims younger. */
+	/* If the log's clock steps back, claims must not become younger. */
 	f->wall = MAX(f->wall, wall);
 	fold_expire(f);
 	for (i = 0; i < n; i++) {
@@ -257,7 +257,7 @@
 	if (first <= f->next)
 		return;
 	log_info(
-	    "records of the ledger were missed; keys up to %" G_GINT64_FORMAT
+	    "ledger records are missing; keys claimed up to %" G_GINT64_FORMAT
 	    " ms are unknown",
 	    wall);
 	f->next = first;
@@ -271,10 +271,10 @@
 }
 
 /*
- * The failure met here: a home starts to read where earlier records are gone.
- * A key claimed in one of them would look free, and its request would run
- * twice. A claim is judged only when all records of the window before it
- * have been read.
+ * A home may start to read a stream whose earlier records are gone. A key that
+ * was claimed in one of them would look free, and its request would be executed
+ * twice. So LEDGER_OURS is returned only if all records within LEDGER_WINDOW
+ * before the claim have been read.
  */
 enum ledger_verdict
 ledger_fold_judge(struct ledger_fold *f, const struct ledger_claim *c)
@@ -324,7 +324,7 @@
 	return log_record_encode(o);
 }
 
-/* Some 64-bit words as 16 hex digits each. */
+/* Decode 64-bit words of 16 hex digits each. */
 static bool
 hex_decode(const json_t *o, unsigned int words, uint64_t *out)
 {
@@ -367,7 +367,7 @@
 	return true;
 }
 
-/* All or nothing: a batch with a claim that can't be read counts for none. */
+/* If any claim of a batch is invalid, the whole batch is ignored. */
 struct ledger_claim *
 ledger_batch_decode(const json_t *o, unsigned int *n)
 {
