--- a/share.c
+++ b/share.c
@@ -1,11 +1,12 @@
 /*
  * Shares of organisations' limits; see share.h.
  *
- * Amounts are thousandths of the limit's unit. A rate is a bucket that fills
- * by the allowance and holds a second of it. Whole units of requests and of
- * work in flight are dealt out, so that a limit below the number of nodes is
- * not split into fractions that admit nothing: each node gets the quotient,
- * and the nodes with the lowest hashes one more.
+ * Amounts are in 1/1000 of the limit's unit. Rates are enforced by a token
+ * bucket that is filled at the rate of the allowance and has a capacity of one
+ * second of it. Limits of requests and of work in flight are divided into whole
+ * units; otherwise a limit below the number of nodes would give fractions that
+ * admit nothing. Each node gets the integer quotient, and the nodes with the
+ * lowest hashes get one unit more.
  */
 
 #define LOG_PART "share"
@@ -16,68 +17,71 @@
 
 #define SHARE_UNIT 1000
 #define SHARE_WINDOW ((msec)250)
-/* The share is the least target of this many stretches of time: the running
-   one, and those that make up SHARE_RAISE. */
+/*
+ * The share is the minimum of the targets over this many periods: the current
+ * one, and the ones before it that add up to SHARE_RAISE.
+ */
 #define SHARE_STRETCHES 4
 #define SHARE_STRETCH (SHARE_RAISE / (SHARE_STRETCHES - 1))
 /*
- * Nodes asked in one window for one limit: one in so many, as shares are the
- * smaller the more nodes there are, but not fewer than the least. And for all
- * limits together.
+ * Loan requests per window. For one limit: the number of nodes divided by
+ * SHARE_ASKS_IN, as more nodes have smaller shares, but at least
+ * SHARE_ASKS_LEAST. For all limits together: SHARE_ASKS_MAX.
  */
 #define SHARE_ASKS_IN 16
 #define SHARE_ASKS_LEAST 2
 #define SHARE_ASKS_MAX 8
-/* Lenders drawn at random before all are looked through. */
+/* Random choices of a lender before all nodes are scanned. */
 #define SHARE_DRAWS 8
-/* Windows between asks in vain double up to 1 << SHARE_VAIN_MAX. */
+/* The windows between unanswered requests double up to 1 << SHARE_VAIN_MAX. */
 #define SHARE_VAIN_MAX 3
-/* An organisation that is idle for so long is forgotten. */
+/* Organisations idle for this long are removed from memory. */
 #define SHARE_IDLE (60 * MSEC_SECOND)
 
-/* What another node has of ours. */
+/* A part of the local share that is lent to another node. */
 struct share_loan {
 	TAILQ_ENTRY(share_loan) entry;
 	name_id node;
 	int64_t amount;
 	msec until;
-	bool renewable; /* false: the rest of a loan that was lowered */
+	bool renewable; /* false: the remainder of a loan that was reduced */
 };
 TAILQ_HEAD(share_loan_list, share_loan);
 
-/* What we have of another node, or have asked it for. */
+/* A loan from another node, or a request for one. */
 struct share_debt {
 	TAILQ_ENTRY(share_debt) entry;
 	name_id node;
 	int64_t amount;
 	msec until;
-	uint32_t seq; /* of the last ask */
-	msec asked;
+	uint32_t seq; /* of the last request */
+	msec asked;   /* time of the last request */
 };
 TAILQ_HEAD(share_debt_list, share_debt);
 
 /* One limit of one organisation. */
 struct share_part {
-	int64_t limit; /* 0: none */
-	int64_t target;
-	int64_t least[SHARE_STRETCHES]; /* targets; [0] is running */
-	uint64_t owners_to; /* nodes up to this hash have one more */
-	unsigned int vain;  /* windows of asking since a loan came */
-	unsigned int wait;  /* windows until we ask again */
-	bool asked;	    /* in this window */
+	int64_t limit;	/* 0: none */
+	int64_t target; /* this node's part of the limit */
+	/* Minimum target in each period; [0] is the current one. */
+	int64_t least[SHARE_STRETCHES];
+	uint64_t owners_to; /* nodes up to this rank may lend; 0: none */
+	unsigned int vain;  /* windows with requests since the last loan */
+	unsigned int wait;  /* windows until the next request */
+	bool asked;	    /* a loan was requested in this window */
 	struct share_loan_list loans;
 	struct share_debt_list debts;
 	int64_t lent, borrowed;
-	/* Rates. */
-	int64_t level;
-	int64_t level_rest; /* thousandths of its thousandths */
-	msec filled;
-	int64_t tried; /* in this window; in flight: refused only */
-	int64_t rate;  /* tried, smoothed, a second */
-	/* In flight. */
+	/* For rates. */
+	int64_t level;	    /* of the token bucket */
+	int64_t level_rest; /* fraction of `level`, in 1/1000 of its unit */
+	msec filled;	    /* time of the last fill */
+	int64_t tried;	    /* demand in this window; in flight: refused only */
+	int64_t rate;	    /* smoothed demand per second */
+	/* For work in flight. */
 	int64_t used;
-	int64_t peak; /* in this window and the last */
-	int64_t last_peak;
+	int64_t peak;	   /* maximum of `used` in this window */
+	int64_t last_peak; /* and in the window before */
 };
 
 struct share_org {
@@ -96,12 +100,14 @@
 	GRand *rand;
 	GArray *nodes; /* name_id, sorted */
 	bool takes_work;
-	unsigned int most[SHARE_STRETCHES]; /* nodes; [0] is running */
-	unsigned int young; /* stretches until our start is forgotten */
+	/* Maximum number of nodes in each period; [0] is the current one. */
+	unsigned int most[SHARE_STRETCHES];
+	unsigned int
+	    young; /* periods in which shares are limited by start-up */
 	msec next_stretch;
 	msec next_window;
 	uint32_t seq;
-	unsigned int asks_left;
+	unsigned int asks_left; /* in this window, for all limits */
 };
 
 static int share_org_compare(struct share_org *, struct share_org *);
@@ -176,15 +182,15 @@
 	d->rand = g_rand_new_with_seed(seed);
 	d->nodes = g_array_new(FALSE, FALSE, sizeof(name_id));
 	/*
-	 * Guards against our own restart: what our last start had lent may
-	 * still be in use, and the others may not know that we are back. So
-	 * the share begins with 0 and is raised like any other.
+	 * After a restart of this node, loans from its previous process may
+	 * still be in use, and other nodes may not know yet that it is back. So
+	 * each share starts at 0 and is raised with the usual delay.
 	 */
 	d->young = SHARE_STRETCHES;
 	d->next_stretch = now + SHARE_STRETCH;
 	d->next_window = now + SHARE_WINDOW;
 	d->asks_left = SHARE_ASKS_MAX;
-	/* Answers to our last start do not match. */
+	/* Random, so answers to the previous process do not match. */
 	d->seq = g_rand_int(d->rand);
 }
 
@@ -208,7 +214,7 @@
 	return sh->priv->norgs;
 }
 
-/* A node's place in the order for one organisation; any mix will do. */
+/* Hash that orders nodes for one organisation; any mixing function will do. */
 static uint64_t
 share_rank(const struct share_org *o, name_id node)
 {
@@ -219,7 +225,7 @@
 	return h ^ (h >> 33);
 }
 
-/* The highest rank among the nodes that get one unit more. */
+/* Compute the highest rank among the nodes that get one unit more. */
 static void
 share_owners(const struct share_data *d, const struct share_org *o,
     struct share_part *part)
@@ -263,11 +269,11 @@
 }
 
 /*
- * Guards against two views of who takes work: a node that another holds dead
- * may be alive, and a new one may use its share before all make room. It
- * shows as shares that add up to more than the limit. Taking the least target
- * of the last SHARE_RAISE keeps the old share until both views have met and
- * loans made from the greater share have lapsed.
+ * Nodes may disagree about which of them take work: a node that another
+ * considers dead may be alive, and a new node may use its share before all
+ * others have reduced theirs. The shares would then add up to more than the
+ * limit. The minimum target of the last SHARE_RAISE keeps the smaller share
+ * until the nodes agree and loans made from a larger share have expired.
  */
 static int64_t
 share_base(const struct share_part *part)
@@ -318,7 +324,7 @@
 	return debt->amount > 0 && now >= debt->until - span;
 }
 
-/* Work in flight leaves time to try a few times. */
+/* Time before expiry at which loans are renewed; in flight allows retries. */
 static msec
 share_renew_within(enum share_kind kind)
 {
@@ -326,10 +332,11 @@
 }
 
 /*
- * Guards against work that outlives the loan it was admitted on: the lender
- * would admit in its place while it still runs, and more than the limit would
- * be in flight. Nothing new begins on a loan that lapses soon, and what runs
- * counts as need, so that the loan is renewed in the time that is left.
+ * The allowance without loans that expire soon. Work may outlast the loan it
+ * was admitted with; the lender would then admit other work while it still
+ * runs, and more than the limit would be in flight. So no work is admitted with
+ * a loan that expires soon, and running work counts as demand, so that the loan
+ * is renewed in the remaining time.
  */
 static int64_t
 share_lasting(struct share_part *part, msec now)
@@ -344,7 +351,7 @@
 	return lasting;
 }
 
-/* Let the bucket fill up to now. */
+/* Fill the token bucket for the time since the last fill. */
 static void
 share_fill(struct share_part *part, enum share_kind kind, msec now)
 {
@@ -352,7 +359,8 @@
 
 	if (kind == SHARE_IN_FLIGHT)
 		return;
-	/* A small rate saves up for one request. */
+	/* At a rate below 1 per second the bucket still has room for one
+	 * request. */
 	depth =
 	    kind == SHARE_REQUESTS && rate > 0 ? MAX(rate, SHARE_UNIT) : rate;
 	part->level_rest += rate * (now - part->filled);
@@ -375,8 +383,8 @@
 }
 
 /*
- * Begin a limit, for a new organisation or after an edit of the document, as
- * if it had been there when there were most nodes.
+ * Initialise the targets of past periods for a new or changed limit, as if it
+ * had been divided among the highest recent number of nodes.
  */
 static void
 share_begin(struct share_data *d, struct share_org *o, unsigned int kind)
@@ -393,7 +401,7 @@
 	if (most > d->nodes->len)
 		past = MIN(past, part->limit / most);
 	for (i = 1; i < SHARE_STRETCHES; i++) {
-		/* What was before our start counts as 0, see shares_init(). */
+		/* Periods before start-up count as 0, see shares_init(). */
 		part->least[i] = i + d->young > SHARE_STRETCHES ? 0 : past;
 	}
 }
@@ -419,7 +427,7 @@
 	}
 }
 
-/* With the limits in force; NULL when there are none. */
+/* Find or create an organisation, with its current limits; NULL: no limits. */
 static struct share_org *
 share_org_get(
     struct shares *sh, msec now, name_id service, name_id organisation)
@@ -493,7 +501,10 @@
 	case SHARE_REQUESTS:
 		return part->level >= SHARE_UNIT;
 	case SHARE_TOKENS:
-		/* A request may be larger than a second's share: into debt. */
+		/*
+		 * A request may be larger than a second's share, so the level
+		 * may become negative.
+		 */
 		return part->level > 0;
 	default:
 		return part->used + SHARE_UNIT <= share_lasting(part, now);
@@ -521,7 +532,7 @@
 		room = false;
 		if (i == SHARE_IN_FLIGHT)
 			p[i].tried += SHARE_UNIT;
-		/* The next request need not wait for the window's end. */
+		/* Request a loan now, rather than at the end of the window. */
 		if (!p[i].asked && p[i].wait == 0)
 			share_ask_some(sh, now, o, i);
 	}
@@ -589,8 +600,9 @@
 }
 
 /*
- * What is missing, or with `lending` what can be spared (as a negative
- * number), against the use that is seen and a quarter more.
+ * The amount that this node lacks (positive) or can spare (negative). The
+ * demand for rates includes a reserve of a quarter. With `lending` a further
+ * reserve is kept.
  */
 static int64_t
 share_shortage(
@@ -602,13 +614,13 @@
 		need = MAX(part->peak, part->last_peak) + part->tried;
 	else
 		need = MAX(part->rate, part->tried) * 5 / 4;
-	/* Keep something back, so that our next caller is not refused. */
+	/* Keep a reserve, so that the next local caller is not refused. */
 	if (lending && kind != SHARE_IN_FLIGHT)
 		need = MAX(need, share_base(part) / 8);
 	return need - have;
 }
 
-/* May lend: has a share, and has not been asked or lent already. */
+/* Whether a node has a share and no loan or request to it is pending. */
 static bool
 share_is_lender(const struct share_data *d, const struct share_org *o,
     const struct share_part *part, name_id id)
@@ -638,7 +650,8 @@
 		if (share_is_lender(d, o, part, id))
 			return id;
 	}
-	/* Only a few have a share of a small limit, or most have lent. */
+	/* Few nodes have a share of a small limit, or most have lent already.
+	 */
 	for (i = 0; i < d->nodes->len; i++) {
 		id = g_array_index(d->nodes, name_id, i);
 		if (!share_is_lender(d, o, part, id))
@@ -649,7 +662,7 @@
 	return found;
 }
 
-/* Whom to ask: one whose loan lapses soon, else any that has a share; or 0. */
+/* Choose a lender: to renew a loan that expires soon, else at random; or 0. */
 static name_id
 share_pick_lender(struct share_data *d, const struct share_org *o,
     unsigned int kind, msec now)
@@ -658,7 +671,7 @@
 	const struct share_debt *debt, *next = NULL;
 	msec soon = share_renew_within(kind);
 
-	/* The loan that lapses next is renewed first. */
+	/* Renew the loan that expires first. */
 	TAILQ_FOREACH (debt, &part->debts, entry) {
 		if (share_lapses_within(debt, now, soon) &&
 		    debt->asked != now &&
@@ -689,7 +702,8 @@
 		debt->node = node;
 		TAILQ_INSERT_TAIL(&part->debts, debt, entry);
 	}
-	/* In all, as the answer replaces the loan we have. */
+	/* Request the total amount, as the answer replaces the existing loan.
+	 */
 	ask = MIN(ask + debt->amount, part->limit);
 	if (ask <= 0)
 		return;
@@ -709,7 +723,7 @@
 	sh->ops->send(sh, node, &msg);
 }
 
-/* While all are short nobody lends, so asking in vain becomes rarer. */
+/* Request loans, with exponential backoff while no node lends. */
 static void
 share_ask_some(
     struct shares *sh, msec now, struct share_org *o, enum share_kind kind)
@@ -730,7 +744,7 @@
 	part->vain++;
 }
 
-/* Borrow what was missing, and renew what is about to lapse and is needed. */
+/* Borrow what this node lacked, and renew loans that are still needed. */
 static void
 share_next_window(struct shares *sh, msec now, struct share_org *o)
 {
@@ -764,7 +778,8 @@
 	}
 }
 
-/* Loans must be remembered until they lapse. */
+/* An organisation with loans is not idle: they must be kept until they expire.
+ */
 static bool
 share_is_idle(const struct share_org *o, msec now)
 {
@@ -799,7 +814,8 @@
 		share_next_window(sh, now, o);
 		if (!share_is_idle(o, now))
 			continue;
-		log_debug("organisation %" PRIx64 " is idle", o->organisation);
+		log_debug(
+		    "removing idle organisation %" PRIx64, o->organisation);
 		share_org_free(d, o);
 	}
 	return MIN(d->next_window, d->next_stretch);
@@ -819,7 +835,8 @@
 		return;
 	part = &o->parts[ask->kind];
 	share_fill(part, ask->kind, now);
-	/* Below 0 we are short ourselves and want some of the loan back. */
+	/* Negative if this node itself lacks some and wants part of a loan
+	 * back. */
 	spare = -share_shortage(part, ask->kind, now, true);
 	TAILQ_FOREACH (loan, &part->loans, entry) {
 		if (loan->node == from && loan->renewable)
@@ -828,8 +845,8 @@
 	old = loan != NULL ? loan->amount : 0;
 	give = MIN((int64_t)ask->ask, spare + old);
 	/*
-	 * What we have borrowed is not ours to lend, and a loan from before
-	 * our share was lowered is not renewed in full.
+	 * Borrowed amounts must not be lent on, and a loan from before this
+	 * node's share was lowered must not be renewed in full.
 	 */
 	give = MIN(give, share_base(part) - (part->lent - old));
 	if (ask->kind != SHARE_TOKENS)
@@ -837,8 +854,8 @@
 	if (give <= 0)
 		return;
 	/*
-	 * The borrower may use the old loan until that lapses, as it may never
-	 * get our answer; so only what the new one does not cover stays in it.
+	 * This answer may be lost, so the borrower may use the old loan until
+	 * it expires; keep the part of it that the new loan does not cover.
 	 */
 	if (loan != NULL && give < old) {
 		loan->amount = old - give;
@@ -869,10 +886,10 @@
 }
 
 /*
- * The loan counts from when we asked, not from when the answer came: the
- * lender counts from between the two, so ours lapses first without any clock
- * in common. An answer to an ask before the last one does not say from when
- * it counts and is not used.
+ * The term of a loan runs from when this node sent its request, not from when
+ * the answer arrived. The lender counts from a time between the two, so the
+ * loan expires here first without a shared clock. An answer to an earlier
+ * request than the last is ignored, as its start is not known any more.
  */
 static void
 share_borrowed(struct shares *sh, msec now, name_id from, const sp_share *give)
@@ -893,7 +910,7 @@
 		if (debt->node == from && debt->seq == give->seq)
 			break;
 	}
-	/* A second copy would bring the credit twice. */
+	/* A duplicate of the answer would add the credit twice. */
 	if (debt == NULL || debt->until == debt->asked + SHARE_LOAN)
 		return;
 	if (now >= debt->asked + SHARE_LOAN)
--- a/share.h
+++ b/share.h
@@ -1,14 +1,17 @@
 /*
- * Limits of organisations over all nodes together, without a message for each
- * request. Every node that takes work holds an equal share of each limit and
- * admits by it alone. One that runs short borrows from others what they do
- * not use. A loan lapses by itself at both ends, first at the borrower's, so
- * no message and no death of a node can leave a share in use twice.
+ * Enforces the limits of organisations across all nodes without a message per
+ * request. Each node that takes work has an equal share of each limit and
+ * admits requests against it locally. A node whose share is too small borrows
+ * unused parts of the shares of other nodes. A loan expires by itself at both
+ * nodes, first at the borrower, so neither a lost message nor the failure of a
+ * node can leave an amount in use twice.
  *
- * While the nodes agree on who takes work, the shares add up to the limit at
- * most. A share is lowered at once and raised late, so this holds through
- * joins, leaves, deaths and restarts as well. Parts of a fleet that cannot
- * reach each other hold the whole limit each. A core without input or output.
+ * While the nodes agree on which of them take work, the shares add up to at
+ * most the limit. A share is lowered at once and raised with a delay, so this
+ * also applies while nodes join, leave, fail or restart. After a network
+ * partition each side uses the whole limit. This module does no I/O.
+ *
+ * poison-share.c is unrelated; it exchanges records of poison requests.
  */
 
 #ifndef SHARE_H
@@ -19,66 +22,67 @@
 #include "savory.h"
 
 /*
- * How long a loan runs, and how long a share waits to be raised. The second
- * is longer by what it takes until all know of a change of nodes.
+ * Term of a loan, and delay before a share is raised. The delay is longer by
+ * the time that a change of nodes takes to reach all nodes.
  */
 #define SHARE_LOAN (2 * MSEC_SECOND)
 #define SHARE_RAISE (4 * MSEC_SECOND)
 
-/* The limits that are shared, one of struct doc_limits each. */
+/* The kinds of limits, one for each member of struct doc_limits. */
 enum share_kind {
-	SHARE_REQUESTS,	 /* a second */
-	SHARE_TOKENS,	 /* a second */
-	SHARE_IN_FLIGHT, /* at a time */
+	SHARE_REQUESTS,	 /* per second */
+	SHARE_TOKENS,	 /* per second */
+	SHARE_IN_FLIGHT, /* concurrent requests */
 	SHARE_KINDS
 };
 
 struct shares;
 
-/* What the core calls; both must be given. */
+/* Callbacks; both are required. */
 struct share_ops {
-	/* Send to a node; may be dropped. Must not call back. */
+	/* Send a message, which may be lost. Must not call shares_*(). */
 	void (*send)(struct shares *, name_id, const sp_msg *);
-	/* The limits in force of a service's organisation; false: none. */
+	/* Get the limits of a service's organisation; false: no limits. */
 	bool (*limits)(struct shares *, name_id, name_id, struct doc_limits *);
 };
 
-/* Counters; all only grow. */
+/* Counters; none ever decreases. */
 struct share_counters {
 	uint64_t admitted, refused;
 	uint64_t asked, lent, borrowed;
 };
 
-/* The core's state; one per node, in the embedder's memory. */
+/* The shares of the local node; allocated by the caller. */
 struct shares {
 	const struct share_ops *ops;
 	struct share_counters counters;
 	struct share_data *priv;
-	void *arg; /* the embedder's */
+	void *arg; /* for the caller's use */
 };
 
-/* Our node id and a seed. */
+/* Arguments: the local node's id, a random seed, the time. */
 void
 shares_init(struct shares *, const struct share_ops *, name_id, uint32_t, msec);
 void shares_finish(struct shares *);
-/* All nodes that take work, ourselves among them if we do. */
+/* Set all nodes that take work; includes the local node if it does. */
 void shares_set_nodes(struct shares *, msec, const name_id *, unsigned int);
 /*
- * Admit a request of about that many tokens; false when the organisation is
- * over a limit. An admitted one ends with shares_done().
+ * Admit a request of a service's organisation with an estimated number of
+ * tokens; false if the organisation is over a limit. For each admitted request
+ * call shares_done() when it ends.
  */
 bool shares_take(struct shares *, msec, name_id, name_id, unsigned int);
-/* It ended; with the tokens taken for it, and those it turned out to be. */
+/* A request ended; with the estimated and the actual number of its tokens. */
 void shares_done(
     struct shares *, msec, name_id, name_id, unsigned int, unsigned int);
-/* An authenticated SP_SHARE message from a node. */
+/* Handle an authenticated SP_SHARE message from a node. */
 void shares_receive(struct shares *, msec, name_id, const sp_msg *);
-/* Do what is due; the time when it wants to be called next. */
+/* Run due work. Returns the time of the next call. */
 msec shares_tick(struct shares *, msec);
-/* What we may use now, in thousandths; for dumps and tests. */
+/* What the local node may use now, in 1/1000 units; for dumps and tests. */
 int64_t
 shares_allowance(struct shares *, msec, name_id, name_id, enum share_kind);
-/* Organisations held in memory. */
+/* Number of organisations in memory. */
 unsigned int shares_count(const struct shares *);
 
 #endif /* SHARE_H */
