--- a/poison-record.c
+++ b/poison-record.c
@@ -1,7 +1,7 @@
 /*
- * What is known of each request that may end its servers: processes that ended
- * while it was there, and when it was last answered whole. Merging two records
- * gives the same in any order.
+ * Records of suspect requests: the server processes that ended while executing
+ * the request, and the time of its last complete answer. The result of merging
+ * records does not depend on their order.
  */
 
 #define LOG_PART "poison"
@@ -9,13 +9,13 @@
 
 #include <string.h>
 
-/* The first trial of a condemned request comes so long after its last end. */
+/* Delay of the first trial of a condemned request after its last end. */
 #define POISON_TRIAL_MS (10 * 60 * MSEC_SECOND)
-/* Each further one after so many times as long. */
+/* Factor by which the delay grows with each failed trial. */
 #define POISON_TRIAL_TIMES 4
-/* Ends this long after the one that condemned it are those of trials. */
+/* Ends later than this after the condemning one count as failed trials. */
 #define POISON_FIRST_MS (60 * MSEC_SECOND)
-/* As an age on the wire: never. */
+/* Age in messages for MSEC_NEVER. */
 #define POISON_AGE_NEVER UINT32_MAX
 
 RB_GENERATE(poison_records, poison_record, entry, poison_record_compare)
@@ -61,7 +61,7 @@
 		record_free(p, r);
 }
 
-/* The newest of its list, which goes by how much speaks against it. */
+/* Move a record to the end of the list for its number of ends. */
 static void
 record_place(struct poisons *p, struct poison_record *r)
 {
@@ -104,7 +104,7 @@
 	return r->served != MSEC_NEVER && r->served >= at;
 }
 
-/* Room for one more: of the middle ones the oldest goes. */
+/* Make room for one end; drops the oldest one after the first POISON_ENDS. */
 static void
 record_make_room(struct poison_record *r)
 {
@@ -179,7 +179,7 @@
 	return r->nlives >= POISON_ENDS && now < record_trial_at(r);
 }
 
-/* ---- on the wire ---- */
+/* ---- messages ---- */
 
 static uint32_t
 age_encode(msec at, msec now)
@@ -204,7 +204,7 @@
 			age_encode(r->lives[i].at, now) };
 }
 
-/* True when it brought something that was not known. */
+/* Returns true if the record has changed. */
 bool
 record_merge(struct poisons *p, msec now, const sp_poison_record *m,
     struct poison_record **found)
--- a/poison-share.c
+++ b/poison-share.c
@@ -1,5 +1,6 @@
 /*
- * What nodes tell each other of requests that may end their servers.
+ * Distribution of records of poison requests between nodes; see poison.h. Not
+ * related to share.c, which divides limits of organisations among nodes.
  */
 
 #define LOG_PART "poison"
@@ -9,20 +10,20 @@
 
 #include <xxhash.h>
 
-/* Told so often, as messages get lost, and the pause between. */
+/* Number of times that a change is sent, as messages may be lost; interval. */
 #define SHARE_TELLS 2
 #define SHARE_AGAIN_MS 300
-/* The deputy tells all as well, a little later, as the owner may be gone. */
+/* Delay after which the deputy broadcasts too, as the owner may have failed. */
 #define SHARE_DEPUTY_MS 200
 /*
- * Between two messages to all nodes, for each of them: so a node that owns
- * many records takes longer, and not more of its link.
+ * Minimum interval between two broadcasts, per receiving node. A node that owns
+ * many records takes longer to send them instead of using more bandwidth.
  */
 #define SHARE_PER_NODE_MS 1
-/* One node is told what it may have missed so often. */
+/* Interval of the periodic messages to a random node. */
 #define SHARE_SYNC_MS 500
 
-/* Room for one message. */
+/* A message with the memory for its records. */
 struct share_message {
 	sp_msg msg;
 	sp_poison_record records[SAVORY_POISONS_MAX];
@@ -36,7 +37,7 @@
 	m->msg.sp_msg_u.poison_tell.list.list_val = m->records;
 }
 
-/* False when it is full. */
+/* False: the message is full. */
 static bool
 message_add(struct share_message *m, const struct poison_record *r, msec now)
 {
@@ -58,7 +59,7 @@
 	p->ops->send(p, to, &m->msg);
 }
 
-/* ---- who is told ---- */
+/* ---- owners ---- */
 
 static uint64_t
 share_weight(struct poison_id id, name_id node)
@@ -68,7 +69,7 @@
 	return XXH64(words, sizeof words, 7);
 }
 
-/* By weight, of all but one node. */
+/* The two nodes of greatest weight, except for one node. */
 static void
 share_first(const struct poisons *p, struct poison_id id, name_id but,
     name_id *owner, name_id *deputy)
@@ -102,14 +103,14 @@
 		*owner = p->self;
 }
 
-/* What all nodes are to know. */
+/* Whether all nodes are to receive the record. */
 static bool
 record_is_wide(const struct poison_record *r)
 {
 	return r->wide || record_ends(r) > 1;
 }
 
-/* It is still to be passed on so often, and when. */
+/* Set how many times a record is still to be sent, and when. */
 static void
 share_set(
     struct poisons *p, struct poison_record *r, unsigned int tells, msec at)
@@ -137,7 +138,7 @@
 		share_set(p, r, 1, now + SHARE_DEPUTY_MS);
 }
 
-/* Tell what is due; true when this message was for all nodes. */
+/* Send a record; returns true if it was sent to all nodes. */
 static bool
 share_tell(struct poisons *p, msec now, struct poison_record *r)
 {
@@ -162,9 +163,9 @@
 	return wide;
 }
 
-/* ---- from time to time ---- */
+/* ---- periodic work ---- */
 
-/* The next few in the order of their names, to any node. */
+/* Send the next few records, in the order of their ids, to a random node. */
 static void
 share_sync(struct poisons *p, msec now)
 {
@@ -189,7 +190,7 @@
 	    p->nodes[g_rand_int_range(p->rand, 0, (gint32)p->nnodes)].id);
 }
 
-/* Records whose turn has come, in one list or the other. */
+/* Send the due records of a list; returns true after a broadcast. */
 static bool
 share_list(struct poisons *p, struct poison_ages *list, msec now)
 {
@@ -232,7 +233,7 @@
 
 /* ---- nodes ---- */
 
-/* It was not among those known before. */
+/* Whether a node is new or has restarted. */
 static bool
 node_is_new(const struct poisons *p, const struct poison_node *n)
 {
@@ -245,7 +246,10 @@
 	return true;
 }
 
-/* What a node that has just come should know, from the two that would. */
+/*
+ * Send records to a new node. They are sent by the owner and the deputy,
+ * computed without the new node.
+ */
 static void
 share_node_came(struct poisons *p, msec now, name_id node)
 {
--- a/poison.c
+++ b/poison.c
@@ -1,5 +1,5 @@
 /*
- * Requests that end their servers: who may be sent, and when; see poison.h.
+ * Poison requests: decides which requests may be sent, and when; see poison.h.
  */
 
 #define LOG_PART "poison"
@@ -10,19 +10,19 @@
 
 #include <xxhash.h>
 
-/* A run waits so long for its turn. */
+/* Maximum wait of a run for permission. */
 #define POISON_HOLD_MS 500
-/* An owner that does not answer is asked so often, at such intervals. */
+/* Interval and number of the requests to an owner that does not answer. */
 #define POISON_ASK_MS 50
 #define POISON_ASKS 2
-/* Whether a server that broke off has ended is known, and told, within. */
+/* Time to detect and report that a server that broke off has ended. */
 #define POISON_SETTLE_MS 120
-/* A run of which nothing more is heard is taken to be over. */
+/* The owner considers a run over after this time without a message. */
 #define POISON_RUN_MS (10 * MSEC_SECOND)
 
-/* ---- names ---- */
+/* ---- ids ---- */
 
-/* With its length, so that no two fields can change places. */
+/* Hash the length too, so that different field boundaries differ. */
 static void
 id_add(XXH3_state_t *s, const void *bytes, size_t n)
 {
@@ -78,7 +78,7 @@
 
 /* ---- runs ---- */
 
-/* Is one of this node under way, or has one asked? */
+/* Whether a run of this node is granted, being released or asking the owner. */
 static bool
 is_in_hand(struct poisons *p, struct poison_id id)
 {
@@ -100,7 +100,7 @@
 	return false;
 }
 
-/* The oldest of this node that waits. */
+/* The oldest waiting run of this node. */
 static struct poison_run *
 run_waiting(struct poisons *p, struct poison_id id)
 {
@@ -120,7 +120,7 @@
 	p->counters.held += v == POISON_HELD;
 }
 
-/* Its wait is over. The embedder may begin or end runs in this call. */
+/* End the wait of a run. decided() may begin or end other runs. */
 static void
 run_decide(struct poisons *p, msec now, struct poison_run *run,
     enum poison_verdict v, bool granted)
@@ -134,7 +134,7 @@
 	p->ops->decided(p, run, v, now);
 }
 
-/* All of this node that wait. */
+/* End the wait of all runs of this node for a request. */
 static void
 runs_decide(
     struct poisons *p, msec now, struct poison_id id, enum poison_verdict v)
@@ -158,8 +158,8 @@
 }
 
 /*
- * As owner: may a node send it now? A node has one under way at a time, so
- * when it asks again what it had before is over.
+ * As owner, permit a node to send a request if no other node does. A node sends
+ * it once at a time, so if it asks again, its earlier run is over.
  */
 static bool
 owner_grants(struct poisons *p, msec now, struct poison_record *r, name_id node,
@@ -205,7 +205,7 @@
 	p->ops->send(p, run->owner, &msg);
 }
 
-/* It asks for leave; true when that is given at once. */
+/* Request permission for a run; true: granted at once. */
 static bool
 run_begin(struct poisons *p, msec now, struct poison_run *run,
     struct poison_record *r)
@@ -223,7 +223,7 @@
 	return false;
 }
 
-/* The next of this node, when none is in hand. */
+/* Let the next waiting run of this node proceed, if no other is active. */
 static void
 runs_go_on(struct poisons *p, msec now, struct poison_id id)
 {
@@ -261,7 +261,7 @@
 	return POISON_WAIT;
 }
 
-/* Whoever decides on it hears that it is over. */
+/* Report to the owner that a run is over. */
 static void
 release_send(
     struct poisons *p, struct poison_id id, name_id owner, uint32_t seq)
@@ -301,7 +301,7 @@
 	runs_go_on(p, now, id);
 }
 
-/* All wait as long, so the first is due first. */
+/* All releases have the same delay, so the list is sorted by due time. */
 static void
 releases_tick(struct poisons *p, msec now)
 {
@@ -342,9 +342,9 @@
 	runs_go_on(p, now, id);
 }
 
-/* ---- what was learned ---- */
+/* ---- evidence ---- */
 
-/* What is known has changed: it may have been condemned, or cleared. */
+/* A record has changed: the request may now be condemned or cleared. */
 static void
 record_changed(struct poisons *p, msec now, struct poison_record *r,
     unsigned int before, bool ours)
@@ -500,8 +500,8 @@
 /* ---- time ---- */
 
 /*
- * The owner does not answer. One end says little, so it is sent, if no other
- * of this node is; a second would be likely to cost a server.
+ * Decide without the owner, which does not answer. After one end the request is
+ * probably harmless and is sent; after more it would probably end a server.
  */
 static void
 run_alone(struct poisons *p, msec now, struct poison_run *run)
@@ -513,7 +513,7 @@
 	run_decide(p, now, run, go ? POISON_GO : POISON_HELD, go);
 }
 
-/* True when the list of those that wait may have changed. */
+/* Returns true if the list of waiting runs may have changed. */
 static bool
 run_tick(struct poisons *p, msec now, struct poison_run *run)
 {
@@ -546,7 +546,7 @@
 	return false;
 }
 
-/* From the start again whenever one is decided: that may change the list. */
+/* Restart after each decision, as that may change the list. */
 static void
 runs_tick(struct poisons *p, msec now)
 {
--- a/share.c
+++ b/share.c
@@ -65,7 +65,7 @@
 	int64_t target; /* this node's part of the limit */
 	/* Minimum target in each period; [0] is the current one. */
 	int64_t least[SHARE_STRETCHES];
-	uint64_t owners_to; /* nodes up to this rank may lend; 0: none */
+	uint64_t owners_to; /* nodes up to this rank have a share */
 	unsigned int vain;  /* windows with requests since the last loan */
 	unsigned int wait;  /* windows until the next request */
 	bool asked;	    /* a loan was requested in this window */
