--- a/directory.c
+++ b/directory.c
@@ -1,11 +1,11 @@
 /*
- * The entry directory: which entry VM a caller is told to use.
+ * The entry directory: chooses the entry VM that a caller should connect to.
  *
- * Each choice is the less loaded of a few candidates drawn at random. The
- * least loaded of all would be told to every caller until the next load
- * report, and callers keep the answer: a herd. Loads are also known late, so
- * each answer that we give counts as some load of its own until the member
- * reports again.
+ * Each choice is the least loaded of a few candidates drawn at random. Choosing
+ * the least loaded of all VMs would direct every caller to the same VM until
+ * its next load report, and callers cache the answer (herding). As load reports
+ * are delayed, each answer also adds to the load that is assumed for the chosen
+ * VM until its next report.
  */
 
 #define LOG_PART "directory"
@@ -13,20 +13,20 @@
 
 #include <string.h>
 
-/* An answer is kept for this long and up to as much again, so that callers
-   that came together do not come back together. */
+/* Callers cache an answer for this time plus a random part of up to as much,
+   so that callers that came together do not return together. */
 #define DIRECTORY_LIFE (8 * MSEC_SECOND)
-/* What one answer adds to a load until the next report. */
+/* Load that is assumed per answer until the next report. */
 #define DIRECTORY_OFFER_PERMILLE 5
-/* How much more load a member in the preferred failure domain may have. */
+/* Load penalty outside the preferred, or in the avoided, failure domain. */
 #define DIRECTORY_DOMAIN_PERMILLE 200
-/* Taken for a member that has not reported yet. */
+/* Load of a member that has not reported yet. */
 #define DIRECTORY_UNKNOWN_PERMILLE 500
-/* A member that says so takes no more, or does not know enough yet to serve. */
+/* Load of a member that accepts no requests: full, or not ready to serve. */
 #define DIRECTORY_FULL_PERMILLE 1000
 
 struct choice {
-	GPtrArray *candidates; /* struct member, not chosen yet */
+	GPtrArray *candidates; /* struct member *, not chosen yet */
 	const char *prefer;    /* failure domain, or "" */
 	const char *avoid;     /* failure domain, or "" */
 	GRand *rand;
@@ -80,7 +80,7 @@
 	return load;
 }
 
-/* One at random, of that failure domain or, with "", of all; or NULL. */
+/* A random candidate of the failure domain, or of all with ""; or NULL. */
 static struct member *
 directory_pick(const struct choice *c, const char *domain)
 {
@@ -102,8 +102,9 @@
 }
 
 /*
- * Two of the preferred failure domain and two of all compete, so that a small
- * domain is found among many members, and left when it is loaded.
+ * Removes and returns the least loaded of four random candidates: two of the
+ * preferred failure domain, so that a small domain is found among many members,
+ * and two of all, so that the preferred domain is left when it is loaded.
  */
 static struct member *
 directory_draw(struct choice *c)
@@ -138,11 +139,11 @@
 	directory_collect(ms, MEMBER_ALIVE, false, candidates);
 	if (candidates->len == 0)
 		directory_collect(ms, MEMBER_ALIVE, true, candidates);
-	/* A suspect is more likely lagging than dead. */
+	/* A suspect member is more likely slow than dead. */
 	if (candidates->len == 0)
 		directory_collect(ms, MEMBER_SUSPECT, true, candidates);
 	if ((answer->best = directory_draw(&c)) == NULL) {
-		log_debug("nobody takes work");
+		log_debug("no entry VM accepts requests");
 		return;
 	}
 	((struct member *)answer->best)->offered++;
@@ -152,10 +153,10 @@
 		g_ptr_array_remove_fast(
 		    candidates, (struct member *)answer->best);
 	}
-	/* Alternates serve when the best fails, perhaps with its domain. */
+	/* Alternates are for failures of the best VM or of its whole domain. */
 	c.prefer = "";
 	c.avoid = answer->best->domain;
 	for (i = 0; i < DIRECTORY_ALTERNATES; i++)
 		answer->alternates[i] = directory_draw(&c);
-	log_debug("offers %s", answer->best->name);
+	log_debug("chose %s", answer->best->name);
 }
--- a/directory.h
+++ b/directory.h
@@ -1,6 +1,6 @@
 /*
- * Which entry VM a caller should use: by failure domain and load, out of two
- * random candidates, so that answers kept by callers do not herd.
+ * Entry directory: chooses the entry VM that a caller should connect to, by
+ * failure domain and load.
  */
 
 #ifndef DIRECTORY_H
@@ -9,20 +9,20 @@
 #include "member.h"
 #include "savory.h"
 
-/* How many others are named beside the best. */
+/* Fallback VMs returned in addition to the best one. */
 #define DIRECTORY_ALTERNATES 2
 
-/* The choice; unused alternates are NULL. */
+/* Result of directory_choose(); unused alternates are NULL. */
 struct directory_answer {
-	const struct member *best; /* NULL: nobody takes work */
+	const struct member *best; /* NULL: no entry VM accepts requests */
 	const struct member *alternates[DIRECTORY_ALTERNATES];
-	msec lifetime; /* how long to keep it */
+	msec lifetime; /* how long the caller may cache it */
 };
 
 /*
- * Choose for a caller in a failure domain ("" when it did not say). Leaving,
- * suspect and dead members are not offered, but suspects are when there is
- * nobody else. The pointers are good until the next call to members_*().
+ * Chooses for a caller in a failure domain ("" if unknown). Alive members are
+ * preferred; suspect ones are used only if no member is alive, leaving and dead
+ * ones never. The pointers are valid until the next call of members_*().
  */
 void directory_choose(
     struct members *, const char *, GRand *, struct directory_answer *);
--- a/member-list.c
+++ b/member-list.c
@@ -1,6 +1,7 @@
 /*
- * The platform's VM list: who may exist, late. It adds members to be tried
- * and says which are leaving; it never says that one is dead, as it lags.
+ * Applies the platform's VM list to the membership. The list adds members to
+ * probe and marks members as leaving. It never makes a member dead, because
+ * the list lags behind the real state of the VMs.
  */
 
 #define LOG_PART "member"
@@ -14,7 +15,7 @@
 static void list_take_vm(struct members *, msec, const struct vm *);
 static void list_take_leaving(struct members *, msec, struct member *, bool);
 
-/* Mark the members that are on it; the number of entry VMs on it. */
+/* Sets `seen` on listed members; returns the number of entry VMs listed. */
 static unsigned int
 list_mark_seen(struct members *ms, const struct vm *vms, unsigned int n)
 {
@@ -34,11 +35,11 @@
 }
 
 /*
- * Guards against a platform that shows an empty list or a fragment of it
- * while the VMs are well: if obeyed, the fleet would lose the addresses that
- * bring cut-off parts together again. It shows as live members that all
- * vanish at once. Holding it back is safe, as members that really are gone
- * stop answering and are not counted here any more.
+ * Guards against a platform that returns an empty or partial list while the
+ * VMs are healthy: applying it would drop the addresses that are needed to
+ * reconnect after a network partition. Such a list is recognised by live
+ * members that disappear from it all at once. Rejecting it is safe, because
+ * members that really are gone stop answering probes and no longer count here.
  */
 static bool
 list_held_back(struct members *ms, const struct vm *vms, unsigned int n)
@@ -59,10 +60,10 @@
 }
 
 /*
- * Guards against a list that still shows the predecessor of a restarted node
- * as leaving: the mark would stick to the new process, which nobody asked to
- * leave. So it counts for an incarnation that the list has shown as live
- * before, or that is older than the list can lag.
+ * Guards against a list that still marks the previous process of a restarted
+ * node as leaving: the mark is permanent for an incarnation and would make the
+ * new process leave, too. So the mark applies only to an incarnation that the
+ * list has shown as live before, or that is older than the list's maximum lag.
  */
 static void
 list_take_leaving(struct members *ms, msec now, struct member *m, bool leaving)
@@ -75,11 +76,12 @@
 		return;
 	if (m->listed_live != m->incarnation &&
 	    now - m->incarnation_since < ms->priv->list_lag) {
-		log_debug("list has %s as leaving, perhaps an earlier start",
+		log_debug(
+		    "VM list marks %s as leaving, may be an earlier process",
 		    m->name);
 		return;
 	}
-	log_debug("list has %s as leaving", m->name);
+	log_debug("VM list marks %s as leaving", m->name);
 	if (m == &ms->self)
 		members_leave(ms, now);
 	else
@@ -119,7 +121,7 @@
 	unsigned int i;
 
 	if (list_held_back(ms, vms, n)) {
-		log_debug("list of %u held back", n);
+		log_debug("implausible VM list of %u entries rejected", n);
 		ms->counters.lists_held++;
 		return false;
 	}
@@ -134,8 +136,8 @@
 }
 
 /*
- * Remove what is gone from the list and dead for a while. A member that is
- * not listed but answers stays: the list lags behind new VMs, too.
+ * Removes members that are unlisted and have been dead for MEMBER_FORGET. A
+ * member that is not listed but answers stays, as the list lags behind new VMs.
  */
 void
 member_list_sweep(struct members *ms, msec now)
@@ -147,7 +149,7 @@
 			continue;
 		if (m->incarnation != 0 && now < m->state_since + MEMBER_FORGET)
 			continue;
-		log_debug("%s is forgotten", m->name);
+		log_debug("%s removed: unlisted and dead", m->name);
 		member_remove(ms, m);
 	}
 }
--- a/member-news.c
+++ b/member-news.c
@@ -1,11 +1,11 @@
 /*
- * News about members: which of two pieces is newer, what follows from it, and
- * how it rides on the probes. Also the loads and the document version that
- * ride along.
+ * Gossip about members, piggybacked on probes: which of two updates is newer,
+ * how an update is applied, and how updates are queued and sent. Loads and the
+ * document version are piggybacked in the same way.
  *
- * Order of news about one member: first the incarnation (start of the
- * process), then the refutation, then dead over suspect over alive. `leaving`
- * is outside that order: once true it stays so for the incarnation.
+ * Updates about one member are ordered by incarnation (start of the process),
+ * then by refutation number, then by state: dead over suspect over alive.
+ * `leaving` is outside that order: once true it stays true for the incarnation.
  */
 
 #define LOG_PART "member"
@@ -14,7 +14,7 @@
 #include <inttypes.h>
 #include <string.h>
 
-/* Size on the wire of one piece of news without its two names. */
+/* Bytes on the wire of one update without its two names. */
 #define NEWS_FIXED 52
 
 static unsigned int news_copies(const struct members *);
@@ -26,7 +26,8 @@
     enum member_state, bool);
 static void loads_note(struct member *, msec, uint64_t, unsigned int);
 
-/* Enough copies that the news reaches everyone with high probability. */
+/* Transmissions after which an update has reached all members with high
+ * probability. */
 static unsigned int
 news_copies(const struct members *ms)
 {
@@ -50,7 +51,7 @@
 	TAILQ_REMOVE(&ms->priv->news, m, news_entry);
 }
 
-/* The names are lent, not copied. */
+/* Borrows the member's names; they are not copied. */
 void
 member_news_of(const struct member *m, sp_news *n)
 {
@@ -74,8 +75,10 @@
 }
 
 /*
- * `about` is the receiver, or ourselves for one that does not know us: a
- * receiver held as suspect or dead must hear of it, or it cannot refute.
+ * Fills out_news with the update about `about`, if any, then with queued ones.
+ * `about` is the receiver when it is suspect or dead here, as it can refute
+ * only what it receives, or the local node when the receiver's incarnation is
+ * unknown.
  */
 unsigned int
 member_news_fill(struct members *ms, const struct member *about)
@@ -106,7 +109,8 @@
 	return n;
 }
 
-/* The HMAC proves a node wrote it, not that the node is free of faults. */
+/* The HMAC proves that a node sent the update, not that its fields are valid.
+ */
 static bool
 news_valid(const sp_news *n)
 {
@@ -131,9 +135,11 @@
 }
 
 /*
- * Guards against a clock that was set back before we started: our number is
- * then less than that of the process before us, and nobody listens to us.
- * Whoever has been a member of the fleet had the greatest number then.
+ * Whether an update with a greater incarnation is about the previous process
+ * of this node. Guards against a clock that was set back before this process
+ * started: its incarnation is then less than that of the previous process, and
+ * other members ignore its messages. Only a node that is still joining can be
+ * in this case: once joined, its incarnation was the greatest.
  */
 static bool
 news_of_predecessor(const struct members *ms, const sp_news *n)
@@ -150,7 +156,9 @@
 	struct member *self = &ms->self;
 
 	if (n->incarnation > self->incarnation && news_of_predecessor(ms, n)) {
-		log_info("an earlier %s had the greater number", self->name);
+		log_info("an earlier process of %s had a greater incarnation, "
+			 "using the next one",
+		    self->name);
 		self->incarnation = n->incarnation + 1;
 		self->incarnation_since = now;
 		self->refutation = 0;
@@ -160,12 +168,13 @@
 	}
 	if (n->incarnation > self->incarnation) {
 		/*
-		 * Our VM was replaced under our name while we were paused or
-		 * cut off. Nobody listens to us any more; finishing what we
-		 * have is all that is left.
+		 * This VM was replaced by one of the same name while this
+		 * process was paused or partitioned. Other members ignore its
+		 * messages now, so it only finishes the requests it has.
 		 */
 		if (!self->leaving)
-			log_warn("another node runs as %s", self->name);
+			log_warn("another node runs under the name %s, leaving",
+			    self->name);
 		members_leave(ms, now);
 		return;
 	}
@@ -180,12 +189,12 @@
 	if (n->refutation >= self->refutation) {
 		self->refutation = n->refutation + 1;
 		ms->counters.refuted++;
-		log_debug("refutes being %s",
+		log_debug("refuting state %s of this node",
 		    member_state_name((enum member_state)n->state));
 	}
 	/*
-	 * Our answer goes out also when the accusation is an old one: all
-	 * copies of the first may have been lost in a partition.
+	 * The refutation is sent again also for a suspicion refuted before:
+	 * all copies of the first refutation may have been lost in a partition.
 	 */
 	member_news_queue(ms, self);
 }
@@ -262,10 +271,10 @@
 }
 
 /*
- * A few loads of others, drawn at random among those heard of lately. A
- * message stays the same size in any fleet, so in a large one a node knows
- * the loads of some members well and of others less, which is all that a
- * choice between two random candidates needs.
+ * Adds the loads of a few random members that have reported recently. The
+ * number is constant so that messages do not grow with the fleet. In a large
+ * fleet the loads of some members are therefore older than those of others,
+ * which is enough for the choice between two random candidates (directory.c).
  */
 unsigned int
 member_loads_fill(struct members *ms, msec now, name_id receiver)
@@ -310,7 +319,7 @@
 	if (from != NULL) {
 		loads_note(from, now, probe->self.document_version,
 		    probe->self.load_permille);
-		/* Known even if every copy of that news was lost. */
+		/* The sender's own flag is used, as the update may be lost. */
 		if (probe->self.leaving && !from->leaving)
 			member_set(ms, now, from, from->state, true);
 	}
--- a/member-private.h
+++ b/member-private.h
@@ -1,5 +1,5 @@
 /*
- * What the files of the membership core share among themselves.
+ * Internal interface between the member*.c files.
  */
 
 #ifndef MEMBER_PRIVATE_H
@@ -7,42 +7,43 @@
 
 #include "member.h"
 
-/* Other members asked to probe a silent one. */
+/* Members that are requested to probe a target which did not answer. */
 #define MEMBER_RELAYS 3
-/* Probes that we make for others and that may be open at once. */
+/* Indirect probes made for other members that can be pending at once. */
 #define MEMBER_RELAYS_OPEN 32
-/* News in one message, by its size on the wire. */
+/* Bytes of updates in one message, as encoded. */
 #define MEMBER_NEWS_BYTES 800
-/* Loads of others in one message. */
+/* Loads of other members in one message. */
 #define MEMBER_LOADS 3
-/* Older loads are not passed on. */
+/* Loads older than this are not sent on. */
 #define MEMBER_LOAD_LIFE (2 * MSEC_SECOND)
-/* Probe periods between tries to reach a dead listed member, and syncs. */
+/* Probe periods between probes of a dead listed member, and between syncs. */
 #define MEMBER_RECONNECT_PERIODS 5
 #define MEMBER_SYNC_PERIODS 30
-/* Unlisted dead members are kept so long, so that stale news is seen as such.
- */
+/* Unlisted dead members are kept for this long, so that stale updates about
+ * them are recognised. */
 #define MEMBER_FORGET (60 * MSEC_SECOND)
 #define MEMBER_SWEEP (5 * MSEC_SECOND)
-/* A bound for memory; a list or news of more is cut. */
+/* Bounds memory; further members are ignored. */
 #define MEMBERS_MAX 2048
-/* Unknown senders asked who they are, in one probe period. */
+/* Unknown senders that are requested to identify themselves, per probe period.
+ */
 #define MEMBER_ASKS 8
 
 TAILQ_HEAD(member_queue, member);
 
-/* The one probe of the running period. */
+/* The direct probe of the current period. */
 struct member_probe {
 	name_id target; /* 0: none */
 	uint32_t seq;
 	msec sent;
 	bool acked;
-	bool relayed; /* others have been asked */
+	bool relayed; /* indirect probes have been requested */
 };
 
-/* A probe made for another member. */
+/* An indirect probe made for another member. */
 struct member_relay {
-	uint32_t seq; /* ours; 0: free */
+	uint32_t seq; /* of the probe to the target; 0: unused */
 	uint32_t asker_seq;
 	uint32_t address;
 	uint16_t port;
@@ -55,10 +56,10 @@
 	msec suspect_for;
 	msec list_lag;
 	GRand *rand;
-	struct member_queue news;     /* to be spread; the newest first */
-	struct member_queue suspects; /* the longest suspect first */
-	unsigned int members;	      /* in the tree */
-	unsigned int live;	      /* of them, not dead */
+	struct member_queue news;     /* updates to send; the newest first */
+	struct member_queue suspects; /* by state_since, the oldest first */
+	unsigned int members;	      /* in the tree, any state */
+	unsigned int live;	      /* of these, not dead */
 	unsigned int listed_dead;
 	/* Probing. */
 	struct member_probe probe;
@@ -72,15 +73,15 @@
 	msec next_sweep;
 	msec next_tick;
 	/* Sync. */
-	name_id sync_peer; /* whose page is awaited; 0: none */
+	name_id sync_peer; /* whose page is expected; 0: none */
 	uint64_t sync_after;
-	bool joining;	 /* until the first whole sync */
-	bool untold;	 /* some members may not have been told of us */
-	msec tell_again; /* that we leave; MSEC_NEVER: no more */
+	bool joining;	 /* until the first full sync is complete */
+	bool untold;	 /* a member was added that may need an announcement */
+	msec tell_again; /* repeat of the leave announcement, or MSEC_NEVER */
 	unsigned int asks_left;
-	/* What is spread besides states. */
+	/* Greatest document version received from any member. */
 	uint64_t newest_version;
-	/* Room for the message being built. */
+	/* Buffers of the message being built. */
 	sp_news out_news[SAVORY_NEWS_MAX];
 	sp_load out_loads[SAVORY_LOADS_MAX];
 };
@@ -89,14 +90,15 @@
 struct member *member_add(struct members *, msec, name_id, const char *);
 void member_remove(struct members *, struct member *);
 bool member_is_live(const struct member *);
-/* Change state and leaving mark; tells the embedder and queues the news. */
+/* Sets state and leaving flag, calls ops->changed() and queues the update. */
 void
 member_set(struct members *, msec, struct member *, enum member_state, bool);
 
 /* member-news.c */
 void member_news_queue(struct members *, struct member *);
 void member_news_drop(struct members *, struct member *);
-/* Fill out_news: `about` first, if any, then what is queued. */
+/* Fills out_news: the given member first, if any, then the queued updates;
+ * returns their number. */
 unsigned int member_news_fill(struct members *, const struct member *);
 void member_news_merge(struct members *, msec, const sp_news *);
 void member_news_of(const struct member *, sp_news *);
@@ -109,7 +111,8 @@
 void member_probe_check(struct members *, msec);
 msec member_probe_due(const struct members *);
 void member_probe_send(struct members *, msec, struct member *, uint32_t);
-/* Tell one what we are, alive or leaving; all, or those not told yet. */
+/* Announce the local node's state, alive or leaving: to one member; to all
+ * members, or with again == false to those without an announcement yet. */
 void member_tell(struct members *, struct member *);
 void member_tell_all(struct members *, bool again);
 void member_probe_receive(struct members *, msec, struct member *, name_id,
--- a/member-probe.c
+++ b/member-probe.c
@@ -1,9 +1,10 @@
 /*
- * Probes: each period one member, in a shuffled round so that none waits
- * long. One that does not answer in time is probed through a few others; if
- * that brings nothing either, it is suspect. Dead members that the VM list
- * still names are tried now and then, so that two parts of a fleet that were
- * cut off from each other find together again.
+ * SWIM's failure detector. One member is probed per period, in a shuffled
+ * order over all live members, which bounds the time between two probes of a
+ * member. A member that does not answer in time is probed indirectly, through
+ * a few other members; without an answer by the end of the period it becomes
+ * suspect. Dead members that are still on the VM list are probed from time to
+ * time, so that the two sides of a network partition reconnect.
  */
 
 #define LOG_PART "member"
@@ -11,7 +12,7 @@
 
 #include <string.h>
 
-/* Tries to find a live member by drawing at random. */
+/* Random draws to find a live member. */
 #define RANDOM_TRIES 16
 
 static void order_shuffle(struct members *);
@@ -27,7 +28,7 @@
     struct members *, msec, uint32_t, uint16_t, const sp_probe_request *);
 static void probe_take_ack(struct members *, msec, name_id, const sp_probe *);
 
-/* A new round over the live members. */
+/* Starts a new round over the live members, in random order. */
 static void
 order_shuffle(struct members *ms)
 {
@@ -51,7 +52,7 @@
 	}
 }
 
-/* Into what is left of the round, so that a new member is probed soon. */
+/* Inserts into the rest of the round, so that a new member is probed soon. */
 void
 member_order_insert(struct members *ms, name_id id)
 {
@@ -90,7 +91,7 @@
 	return NULL;
 }
 
-/* Any live member but the given one, or NULL. */
+/* A random alive or leaving member other than `except`, or NULL. */
 struct member *
 member_random_live(struct members *ms, name_id except)
 {
@@ -145,8 +146,8 @@
 }
 
 /*
- * What we are, and no more: 211 bytes on the wire, 63 KB for a fleet of 300. It
- * is an ack that nobody asked for, so that none answers it.
+ * Sends the local node's state only: 211 bytes on the wire, 63 KB for a fleet
+ * of 300. The message is an unsolicited ack, as receivers do not answer acks.
  */
 void
 member_tell(struct members *ms, struct member *m)
@@ -169,10 +170,11 @@
 }
 
 /*
- * Do not wait for the probes, which reach the last of 60 nodes after 2.8 s.
- * Callers go on being sent to one that leaves, for longer than it can serve
- * them; one that is back stands idle, and nodes that have not all heard of it
- * do not agree who coordinates. What datagrams lose the probes repair.
+ * Announces the local node directly, as gossip by probes reaches the last of
+ * 60 nodes only after 2.8 s. Until then, callers are still sent to a leaving
+ * node, for longer than it can serve them; a restarted node gets no requests,
+ * and nodes that do not all know it disagree on the coordinators. Announcements
+ * that are lost are repaired by the probes.
  */
 void
 member_tell_all(struct members *ms, bool again)
@@ -188,7 +190,7 @@
 	}
 }
 
-/* One dead member of the list, each with the same chance. */
+/* A dead listed member, chosen uniformly at random, or NULL. */
 static struct member *
 probe_dead_listed(struct members *ms)
 {
@@ -261,7 +263,10 @@
 	}
 }
 
-/* Judge the open probe: ask others at its timeout, suspect at period's end. */
+/*
+ * Checks the pending probe: requests indirect probes at its timeout, makes the
+ * target suspect at the end of the period.
+ */
 void
 member_probe_check(struct members *ms, msec now)
 {
@@ -289,7 +294,7 @@
 		return;
 	ms->counters.suspected++;
 	member_set(ms, now, m, MEMBER_SUSPECT, m->leaving);
-	/* At once to itself, so that it has most of the time to refute. */
+	/* Informs the suspect at once, to leave it time to refute. */
 	member_probe_send(ms, now, m, ++p->seq);
 }
 
@@ -361,14 +366,15 @@
 	}
 }
 
-/* From member_tell(): no probe is acknowledged with number 0. */
+/* Whether the message is from member_tell(): acks of probes have a sequence
+ * number other than 0. */
 static bool
 probe_is_word(const sp_msg *msg)
 {
 	return msg->kind == SP_PROBE_ACK && msg->sp_msg_u.probe_ack.seq == 0;
 }
 
-/* `m` is the sender, or NULL when that incarnation of it is unknown. */
+/* `m` is the sender, or NULL if that incarnation of it is unknown. */
 void
 member_probe_receive(struct members *ms, msec now, struct member *m,
     name_id from, uint32_t address, uint16_t port, const sp_msg *msg)
@@ -382,9 +388,10 @@
 		return;
 	}
 	/*
-	 * Guards against nodes that are held as full for long after a start of
-	 * all: a word of what a node is comes when it does not serve yet, and
-	 * in a large fleet the next that says its load comes 45 s later.
+	 * The load in an announcement is ignored. Guards against nodes that
+	 * others take as full for long after a start of the whole fleet: a node
+	 * is announced before it serves, and in a large fleet its next load
+	 * report arrives up to 45 s later.
 	 */
 	member_loads_merge(ms, now, probe_is_word(msg) ? NULL : m, probe);
 	for (i = 0; i < probe->news.news_len; i++)
--- a/member-sync.c
+++ b/member-sync.c
@@ -1,8 +1,8 @@
 /*
- * Sync: a member's whole knowledge, page by page, pulled by the one that
- * wants it. A starting node pulls all pages at once; later one page now and
- * then repairs what spreading by chance has missed. The one that answers
- * keeps no state.
+ * Sync: pulls another member's full membership table, page by page. A starting
+ * node pulls all pages in a row. Later, one page is pulled periodically to
+ * repair updates that gossip did not deliver. The answering node keeps no state
+ * between pages.
  */
 
 #define LOG_PART "member"
@@ -40,7 +40,7 @@
 
 	m = member_random_live(ms, 0);
 	if (m == NULL && p->members > 0 && p->live == 0) {
-		/* Nobody is known yet: anyone on the list will do. */
+		/* No member is live yet: use a random one of the VM list. */
 		skip = (unsigned int)g_rand_int_range(
 		    p->rand, 0, (gint32)p->members);
 		RB_FOREACH (m, member_tree, &ms->tree) {
@@ -55,8 +55,8 @@
 }
 
 /*
- * A sender that nobody has told us of, or its new incarnation: asked for the
- * one piece of news that is about itself.
+ * Requests the update about the sender itself from an unknown sender, or from
+ * an unknown incarnation of a member. At most MEMBER_ASKS per probe period.
  */
 void
 member_sync_ask(
@@ -68,7 +68,7 @@
 	sync_send(ms, address, port, from - 1, 1);
 }
 
-/* The member with the least id above `after`, ourselves among them. */
+/* The member, or the local node, with the least id above `after`. */
 static struct member *
 sync_next(struct members *ms, uint64_t after)
 {
@@ -122,7 +122,7 @@
 
 	for (i = 0; i < page->news.news_len; i++)
 		member_news_merge(ms, now, &page->news.news_val[i]);
-	/* Answers to member_sync_ask() come here, too. */
+	/* The page may also be an answer to member_sync_ask(). */
 	if (p->sync_peer != from || p->sync_after != page->after)
 		return;
 	p->sync_peer = 0;
--- a/member.c
+++ b/member.c
@@ -1,7 +1,7 @@
 /*
- * The membership core's frame: members by id, their states and what is due
- * when. The parts behind it are member-news.c, member-probe.c, member-sync.c
- * and member-list.c.
+ * The membership table: members by id, their states, and the timers. The other
+ * parts are member-news.c (gossip), member-probe.c (failure detection),
+ * member-sync.c (full state transfer) and member-list.c (VM list).
  */
 
 #define LOG_PART "member"
@@ -13,8 +13,9 @@
 #define MEMBER_PROBE_EVERY ((msec)300)
 #define MEMBER_PROBE_TIMEOUT ((msec)150)
 /*
- * The word that we leave is said twice: of 300 nodes some do not get the first,
- * and heard of it by the probes after up to 3.7 s (one datagram in 100 lost).
+ * A leaving node announces it twice. With 300 nodes and 1% datagram loss, some
+ * nodes miss the first announcement, and received the state by probes only
+ * after up to 3.7 s.
  */
 #define MEMBER_TELL_AGAIN ((msec)200)
 #define MEMBER_SUSPECT_FOR ((msec)1200)
@@ -78,7 +79,7 @@
 	p->joining = true;
 	p->tell_again = MSEC_NEVER;
 	p->asks_left = MEMBER_ASKS;
-	/* Not all nodes that start together probe in step. */
+	/* Random offset: nodes that start together do not probe in sync. */
 	p->next_probe =
 	    now + g_rand_int_range(p->rand, 0, (gint32)p->probe_every);
 	p->next_sweep = now + MEMBER_SWEEP;
@@ -128,7 +129,7 @@
 	return m->state != MEMBER_DEAD;
 }
 
-/* As dead and never heard of; news or the list says more. */
+/* Adds a member in state MEMBER_DEAD with incarnation 0; NULL if full. */
 struct member *
 member_add(struct members *ms, msec now, name_id id, const char *name)
 {
@@ -136,7 +137,7 @@
 
 	if (ms->priv->members == MEMBERS_MAX) {
 		log_warn(
-		    "more than %d members, %s is left out", MEMBERS_MAX, name);
+		    "more than %d members, %s is ignored", MEMBERS_MAX, name);
 		return NULL;
 	}
 	m = g_new0(struct member, 1);
@@ -175,7 +176,7 @@
 
 	if (leaving && state == MEMBER_ALIVE)
 		state = MEMBER_LEAVING;
-	log_debug("%s is %s, was %s", m->name, member_state_name(state),
+	log_debug("%s is now %s, was %s", m->name, member_state_name(state),
 	    member_state_name(m->state));
 	m->leaving = leaving;
 	if (state != m->state) {
@@ -196,10 +197,10 @@
 }
 
 /*
- * Guards against a pause of our own process: answers to our probe and
- * refutations of suspicions have waited unread while time went by, and would
- * show as members that are silent. A tick that comes a whole period late says
- * that we were paused; then no silence counts and suspicions begin anew.
+ * Guards against a pause of this process: probe answers and refutations were
+ * waiting unread in the meantime, and members would seem not to have answered.
+ * A tick that is a whole probe period late indicates a pause; the pending probe
+ * is then dropped and the timeouts of all suspects restart.
  */
 static void
 members_check_pause(struct members *ms, msec now)
@@ -209,7 +210,7 @@
 
 	if (now - p->next_tick < p->probe_every)
 		return;
-	log_debug("ticked %" PRId64 " ms late, suspicions begin anew",
+	log_debug("tick %" PRId64 " ms late, suspicion timeouts restarted",
 	    now - p->next_tick);
 	ms->counters.pauses++;
 	p->probe.target = 0;
@@ -268,10 +269,12 @@
 }
 
 /*
- * A message came from a start of a node that we did not know. When it said who
- * it is, we say it in turn: of two that start together, one comes too early to
- * hear the other's first word. Asked is only one that did not, as few can be
- * asked in a period: with all of 300 asked, they knew each other after 23 s.
+ * Handles a first message of an unknown incarnation. If the message contained
+ * the sender's own update, the local node announces itself in return: of two
+ * nodes that start together, the first announcement of one may arrive before
+ * the other listens. Otherwise the update is requested. Requesting it from
+ * every sender is too slow, as requests are limited per period: 300 nodes took
+ * 23 s to know each other.
  */
 static void
 members_meet(struct members *ms, name_id from, uint64_t incarnation,
@@ -291,12 +294,14 @@
 {
 	struct member *m;
 
-	/* Incarnation 0 stands for never heard of; no process has it. */
+	/* Incarnation 0 means that no message was received; no process has it.
+	 */
 	if (msg->kind > SP_SYNC_PAGE || from == ms->self.id || incarnation == 0)
 		return;
 	m = members_find(ms, from);
 	if (m != NULL && incarnation < m->incarnation) {
-		log_debug("message of an earlier %s ignored", m->name);
+		log_debug(
+		    "message of an earlier process of %s ignored", m->name);
 		return;
 	}
 	if (m != NULL && incarnation > m->incarnation)
--- a/metrics.c
+++ b/metrics.c
@@ -1,5 +1,5 @@
 /*
- * What is counted per class, and the text exposition; see metrics.h.
+ * Counters per class and their Prometheus text output; see metrics.h.
  */
 
 #define LOG_PART "metrics"
@@ -184,7 +184,8 @@
 	return c;
 }
 
-/* Count a value against its target; true when there is none or it is met. */
+/* Counts a value as within or beyond its target; returns true if there is no
+ * target or it is met. */
 static bool
 metrics_judge(
     struct metrics_class *c, enum metrics_target which, msec value, msec target)
@@ -199,7 +200,8 @@
 	return false;
 }
 
-/* A whole answer: its times, and whether it met the targets. */
+/* Counts a complete answer: its times, tokens, and whether it met the targets.
+ */
 static void
 metrics_whole(struct metrics_class *c, const struct doc_class *dc,
     const struct metrics_sample *s)
@@ -257,7 +259,8 @@
 	    i->name, i->help, i->name, i->type);
 }
 
-/* One line of a class; `more` are further labels, each after a comma. */
+/* Appends a sample of a class; `more` holds further labels, each after a comma.
+ */
 static void
 text_class(GString *s, enum metric which, const struct metrics_class *c,
     const char *more, uint64_t value)
@@ -337,7 +340,7 @@
 	}
 }
 
-/* All lines that a class has of one metric. */
+/* Appends all samples of one metric of a class. */
 static void
 text_one(GString *s, enum metric which, const struct metrics_class *c)
 {
--- a/metrics.h
+++ b/metrics.h
@@ -1,7 +1,7 @@
 /*
- * Counters and bucketed histograms of our own, per service and class, and the
- * text exposition format of Prometheus. A core without input or output; what
- * each metric says is in metric_info() and docs/METRICS.md.
+ * Counters and histograms per service and class, and their output in the text
+ * exposition format of Prometheus. This module does no I/O. metric_info() and
+ * docs/METRICS.md describe each metric.
  */
 
 #ifndef METRICS_H
@@ -12,17 +12,18 @@
 #include "request.h"
 #include "savory.h"
 
-/* Histograms have this many bounds, and one bucket above the last. */
+/* Number of bucket bounds; one more bucket counts values above the last. */
 #define METRICS_BUCKETS 23
 
-/* Bucket i counts values up to metrics_bound(i) milliseconds. */
+/* Bucket i counts values above metrics_bound(i - 1) and up to metrics_bound(i)
+ * milliseconds. */
 struct metrics_histogram {
 	uint64_t counts[METRICS_BUCKETS + 1];
 	uint64_t sum;
 	uint64_t count;
 };
 
-/* The targets a class may state. */
+/* Latency targets that a class can have. */
 enum metrics_target {
 	METRICS_FIRST_TOKEN,
 	METRICS_BETWEEN_TOKENS,
@@ -30,7 +31,7 @@
 	METRICS_TARGETS
 };
 
-/* Why a record is appended to the log. */
+/* Reasons to append a record to the log. */
 enum metrics_append {
 	METRICS_APPEND_DOCUMENTS, /* a checkpoint or an index */
 	METRICS_APPEND_LEDGER,	  /* a batch of claims */
@@ -38,48 +39,48 @@
 	METRICS_APPENDS
 };
 
-/* What is counted of one class of one service. */
+/* Counters of one class of one service. */
 struct metrics_class {
 	RB_ENTRY(metrics_class) entry;
 	char service[NAME_SIZE];
 	char name[NAME_SIZE];
 	uint64_t outcomes[REQUEST_UNKNOWN + 1];
 	uint64_t codes[REQUEST_CODE_CALLER_GONE + 1];
-	uint64_t met[METRICS_TARGETS];	  /* whole answers within it */
-	uint64_t missed[METRICS_TARGETS]; /* whole answers beyond it */
-	uint64_t attained;		  /* met all of its targets */
-	uint64_t tokens;		  /* of whole answers */
-	uint64_t good_tokens;		  /* of answers that attained */
-	uint64_t wasted_tokens;		  /* passed on, not part of a whole */
+	uint64_t met[METRICS_TARGETS];	  /* complete answers within it */
+	uint64_t missed[METRICS_TARGETS]; /* complete answers beyond it */
+	uint64_t attained;	/* complete answers that met all targets */
+	uint64_t tokens;	/* of complete answers */
+	uint64_t good_tokens;	/* of answers that met all targets */
+	uint64_t wasted_tokens; /* forwarded, of incomplete answers */
 	uint64_t repeated_runs;
 	struct metrics_histogram first_token;
 	struct metrics_histogram between_tokens;
 	struct metrics_histogram whole;
 	struct duration lasts; /* from arrival to the end of the answer */
-	struct duration runs;  /* of that, on its backend server */
+	struct duration runs;  /* time of that on its backend server */
 };
 RB_HEAD(metrics_tree, metrics_class);
 int metrics_compare(const struct metrics_class *, const struct metrics_class *);
 RB_PROTOTYPE(metrics_tree, metrics_class, entry, metrics_compare)
 
-/* All that a process counts here. */
+/* The counters of a process. */
 struct metrics {
 	struct metrics_tree classes;
 	uint64_t appends[METRICS_APPENDS];
 };
 
-/* How one request went; points in time, 0 when it did not come to that. */
+/* Result of one request. Times are points in time, 0 if not reached. */
 struct metrics_sample {
 	enum request_outcome outcome;
 	enum request_code code;
 	msec arrived;
-	msec first; /* first token passed on */
+	msec first; /* first token forwarded */
 	msec ended;
 	unsigned int tokens;
 	unsigned int repeats; /* runs after one that may have executed */
 };
 
-/* Everything exposed, in the order of the text. */
+/* All metrics, in the order of the output. */
 enum metric {
 	METRIC_REQUESTS,
 	METRIC_ENDINGS,
@@ -136,30 +137,29 @@
 	METRIC_COUNT
 };
 
-/* The name after "savory_", the exposition's type, and one line of help. */
+/* The name without "savory_", the Prometheus type, and the HELP text. */
 struct metric_info {
 	const char *name;
 	const char *type;
 	const char *help;
 };
 
-/* The upper bound of a bucket in milliseconds. */
+/* The upper bound of a bucket, in milliseconds. */
 msec metrics_bound(unsigned int);
-/* Count a value in milliseconds. */
+/* Adds a value in milliseconds. */
 void metrics_observe(struct metrics_histogram *, msec);
-/* The counters of a class, made when they are not there yet. */
+/* The counters of a class, created if they do not exist. */
 struct metrics_class *
 metrics_class_get(struct metrics *, const char *service, const char *name);
-/* All counters at zero; their end. */
 void metrics_init(struct metrics *);
 void metrics_finish(struct metrics *);
-/* A request of a service's class has its outcome. */
+/* Counts a request that has ended. */
 void metrics_request(struct metrics *, const char *service,
     const struct doc_class *, const struct metrics_sample *);
 const struct metric_info *metric_info(enum metric);
-/* Append the text of all classes, and of the appends, to a string. */
+/* Append the metrics of all classes, and of log appends, to a string. */
 void metrics_text_classes(GString *, struct metrics *);
-/* Append the text of a metric without labels: a count, or seconds. */
+/* Append a metric without labels: a count, or seconds. */
 void metrics_text_count(GString *, enum metric, uint64_t);
 void metrics_text_seconds(GString *, enum metric, double);
 
