--- a/member-list.c
+++ b/member-list.c
@@ -15,7 +15,7 @@
 static void list_take_vm(struct members *, msec, const struct vm *);
 static void list_take_leaving(struct members *, msec, struct member *, bool);
 
-/* Sets `seen` on listed members; returns the number of entry VMs listed. */
+/* Marks the members that are listed; returns the number of entry VMs listed. */
 static unsigned int
 list_mark_seen(struct members *ms, const struct vm *vms, unsigned int n)
 {
