--- a/member-news.c
+++ b/member-news.c
@@ -109,8 +109,7 @@
 	return n;
 }
 
-/* The HMAC proves that a node sent the update, not that its fields are valid.
- */
+/* The HMAC proves that a node sent the update, not that it is valid. */
 static bool
 news_valid(const sp_news *n)
 {
--- a/member-private.h
+++ b/member-private.h
@@ -26,8 +26,7 @@
 #define MEMBER_SWEEP (5 * MSEC_SECOND)
 /* Bounds memory; further members are ignored. */
 #define MEMBERS_MAX 2048
-/* Unknown senders that are requested to identify themselves, per probe period.
- */
+/* Unknown senders requested to identify themselves, per probe period. */
 #define MEMBER_ASKS 8
 
 TAILQ_HEAD(member_queue, member);
--- a/metrics.c
+++ b/metrics.c
@@ -200,8 +200,7 @@
 	return false;
 }
 
-/* Counts a complete answer: its times, tokens, and whether it met the targets.
- */
+/* Counts a complete answer: its times, its tokens and the targets it met. */
 static void
 metrics_whole(struct metrics_class *c, const struct doc_class *dc,
     const struct metrics_sample *s)
@@ -259,8 +258,7 @@
 	    i->name, i->help, i->name, i->type);
 }
 
-/* Appends a sample of a class; `more` holds further labels, each after a comma.
- */
+/* One sample of a class; the extra labels each begin with a comma. */
 static void
 text_class(GString *s, enum metric which, const struct metrics_class *c,
     const char *more, uint64_t value)
