--- a/daemon-admit.c
+++ b/daemon-admit.c
@@ -1,6 +1,7 @@
 /*
- * Whether a request runs here: tickets and Idempotency-Keys. Everything that
- * is not admitted gets a truthful answer at once.
+ * Admission: decides by ticket and Idempotency-Key whether a request runs on
+ * this node, joins an earlier run or is forwarded to another node. A request
+ * that is not admitted is answered at once with its actual outcome.
  */
 
 #define LOG_PART "admit"
@@ -15,10 +16,10 @@
 admit_forward(struct daemon *, struct call *, const struct ticket *, msec);
 
 /*
- * With a ticket, or a key that is not to run twice, the caller means the same
- * request each time. Until it is proven that no earlier one has run, no
- * failure may be called "not run": the caller would take it that the booking
- * it first asked for, and perhaps got, was not made.
+ * A caller sends the same ticket, or the same key of a request that must not
+ * run twice, with each retry of one request. Until it is proven that no earlier
+ * try has run, a failure must not be reported as "not run": the caller would
+ * conclude that the booking of an earlier, perhaps successful try was not made.
  */
 void
 daemon_admit_begin(struct call *c)
@@ -27,7 +28,7 @@
 	    c->ticket != NULL || (c->key != NULL && !c->repeatable);
 }
 
-/* Where else its caller may ask. */
+/* Lists other entry VMs to which the caller may send the request. */
 static void
 admit_alternates(struct daemon *d, struct call *c)
 {
@@ -69,8 +70,9 @@
 }
 
 /*
- * The door for new work. Callers that come back for work that was let in do
- * not pass it: they cost nothing, and their answer may be here only.
+ * Checks new work against the stop and the organisation's limits. Retries of
+ * admitted work skip these checks: they cost nothing, and this node may be the
+ * only one that has their answer.
  */
 static void
 admit_door(struct daemon *d, struct call *c, msec now)
@@ -98,7 +100,7 @@
 		admit_door(d, c, now);
 }
 
-/* It is through the door. */
+/* The call has passed the checks for new work. */
 void
 daemon_admit_go(struct daemon *d, struct call *c, msec now)
 {
@@ -142,8 +144,8 @@
 }
 
 /*
- * Only the incarnation that issued a ticket knows whether it was used. When
- * that one is gone, the request may have run there or not: "unknown".
+ * Only the node incarnation that issued a ticket records its use. If it is
+ * gone, the request may or may not have run there: the outcome is "unknown".
  */
 static void
 admit_forward(
@@ -164,9 +166,10 @@
 daemon_forward(
     struct daemon *d, struct call *c, const struct member *m, msec now)
 {
-	log_debug_of(LOG_REQUEST, c->id, "%s goes to %s", c->id, m->name);
+	log_debug_of(
+	    LOG_REQUEST, c->id, "%s is forwarded to %s", c->id, m->name);
 	c->forward_to = m->id;
-	/* It may have run there before, whatever this attempt meets. */
+	/* It may have run there before, however this attempt ends. */
 	c->request.maybe_ran = true;
 	c->request.resumable = false;
 	c->request.repeatable = false;
@@ -174,8 +177,8 @@
 }
 
 /*
- * `fresh`: it has not run before, as far as its ticket tells. A used ticket
- * whose first use is no longer remembered is never run again.
+ * `fresh`: the ticket shows no earlier run. A used ticket whose first use is no
+ * longer in the join table is never run again.
  */
 static void
 admit_join(struct daemon *d, struct call *c, msec now, bool fresh)
@@ -205,7 +208,7 @@
 	}
 }
 
-/* It is another request than the one that the ticket or key stands for. */
+/* The ticket or key is invalid or belongs to another request. */
 static void
 admit_refuse(struct call *c, msec now, enum request_code code)
 {
@@ -213,7 +216,7 @@
 	request_fail(&c->request, now, code, 0);
 }
 
-/* Its call has ended: a ticket whose use ran nothing may be used again. */
+/* A ticket whose call ended without a run may be used again. */
 void
 daemon_admit_ended(struct daemon *d, struct call *c)
 {
--- a/daemon-answer.c
+++ b/daemon-answer.c
@@ -1,6 +1,6 @@
 /*
- * An answer on its way: one side fills it (an engine thread, or the core),
- * the other empties it (libmicrohttpd's thread of the caller's connection).
+ * The answer to a call: a buffer that an engine thread or the core fills and
+ * libmicrohttpd's thread of the caller's connection empties.
  */
 
 #define LOG_PART "answer"
@@ -46,7 +46,7 @@
 		a->keep = false;
 }
 
-/* With the lock held: let the caller's connection look again. */
+/* Resumes the caller's connection. The answer's lock is held. */
 static void
 answer_wake(struct answer *a)
 {
@@ -70,9 +70,8 @@
 }
 
 /*
- * Guards against an answer that comes late or crossed: bytes of an attempt
- * that the core has given up on would otherwise mix with its successor's.
- * Only the attempt that the core allowed last may write.
+ * Only the attempt that the core allowed last may write: late bytes of an
+ * abandoned attempt would otherwise mix with those of its successor.
  */
 static bool
 answer_takes(const struct answer *a, unsigned int attempt)
@@ -127,7 +126,8 @@
 	return held;
 }
 
-/* Set the head; it goes out now for a stream, else with the whole body. */
+/* Sets the head. It is sent with the first bytes of a stream, else with the
+ * whole body. */
 bool
 answer_head(struct answer *a, unsigned int attempt, unsigned int status,
     const char *content_type)
@@ -191,7 +191,7 @@
 	return is;
 }
 
-/* The usual error object, with our stable code. */
+/* Writes the error object with its stable code. */
 static void
 answer_error_body(struct answer *a, const struct request *r)
 {
@@ -226,7 +226,8 @@
 
 	pthread_mutex_lock(&a->lock);
 	if (a->ended) {
-		/* It was given the answer of another with the same key. */
+		/* answer_copy() has already filled it from the call with the
+		 * same key. */
 		pthread_mutex_unlock(&a->lock);
 		return;
 	}
@@ -234,7 +235,8 @@
 	a->code = r->code;
 	a->retry_after = r->retry_after;
 	a->attempt = 0;
-	/* With code OK the answer, of whatever outcome, is another node's. */
+	/* With code OK the answer, whatever its outcome, is from another
+	 * node. */
 	if (r->outcome != REQUEST_RAN && r->code != REQUEST_CODE_OK) {
 		if (!a->head)
 			answer_error_body(a, r);
@@ -265,7 +267,7 @@
 	pthread_mutex_unlock(&from->lock);
 	if (!ok)
 		return false;
-	/* It has ended: nobody writes to it any more. */
+	/* `from` has ended, so it is no longer written to. */
 	pthread_mutex_lock(&to->lock);
 	to->status = from->status;
 	g_strlcpy(
@@ -315,7 +317,7 @@
 	return ready;
 }
 
-/* libmicrohttpd asks for bytes of the body. */
+/* Called by libmicrohttpd for the next bytes of the body. */
 ssize_t
 answer_read(struct call *c, char *buf, size_t size)
 {
@@ -332,7 +334,7 @@
 	} else if (a->ended && a->broken)
 		n = MHD_CONTENT_READER_END_WITH_ERROR;
 	else if (a->ended) {
-		/* Only heard by a caller whose answer came in chunks. */
+		/* A trailer: only sent when the answer is chunked. */
 		MHD_add_response_footer(a->response, "Savorypier-Outcome",
 		    request_outcome_name(a->outcome));
 		n = MHD_CONTENT_READER_END_OF_STREAM;
--- a/daemon-call.c
+++ b/daemon-call.c
@@ -1,6 +1,6 @@
 /*
- * Calls on the core: from arrival over dispatch to the end, as the request's
- * state machine says.
+ * Calls on the core: carries out the operations of the request's state machine
+ * from arrival through dispatch to the end.
  */
 
 #define LOG_PART "call"
@@ -76,12 +76,12 @@
 	g_free(c);
 }
 
-/* ---- what the request's state machine asks for ---- */
+/* ---- operations of the request's state machine ---- */
 
 /*
- * The backend server that failed last, if the service has another. Guards
- * against a request that waits for ever: avoiding the only one there is shows
- * as a caller without any answer, or as "hopeless" while that one is back.
+ * Returns the backend server that failed last, if the service has another one,
+ * else 0. Avoiding the only server would leave the request without an answer,
+ * or end it as "hopeless" although that server has recovered.
  */
 static name_id
 call_avoid(const struct call *c)
@@ -100,8 +100,8 @@
 }
 
 /*
- * Every attempt but the resumption of a stream, which can only go on or break,
- * must end in time when we leave.
+ * While this node leaves, an attempt must be able to end before the stop
+ * deadline. A stream that is resumed is exempt: it can only go on or break.
  */
 static bool
 call_has_time(const struct call *c, enum stop_ahead ahead, msec now)
@@ -145,7 +145,8 @@
 	dispatch_cancel(&c->daemon->dispatch, now, &c->slot);
 }
 
-/* To the node whose ticket it brings; that node decides. */
+/* Sends the call to the node that issued its ticket or first claimed its key;
+ * that node decides whether it runs. */
 static void
 call_forward(struct call *c, msec now)
 {
@@ -162,8 +163,8 @@
 }
 
 /*
- * Guards against an engine that starts each answer anew: given a stream to
- * resume, it would send the caller the first tokens a second time.
+ * An engine that cannot resume starts each answer from the beginning: with a
+ * stream to resume it would send the first tokens a second time.
  */
 static bool
 call_can_run_on(const struct call *c, const struct backend *b)
@@ -187,7 +188,7 @@
 	}
 	if (b == NULL || !call_can_run_on(c, b) ||
 	    !daemon_ledger_may_run(c, now)) {
-		/* Or it left the VM list between the grant and now. */
+		/* b is NULL if the server left the VM list after the grant. */
 		request_ended(r, now, r->attempt, ATTEMPT_UNSENT, r->tokens);
 		return;
 	}
@@ -295,7 +296,7 @@
 	if (c->kind != CALL_REQUEST || !c->open)
 		return;
 	if (c->join != NULL) {
-		/* It may come back with its key: the run goes on. */
+		/* The caller may retry with its key: the run goes on. */
 		log_debug_of(LOG_REQUEST, c->id,
 		    "%s: the caller has left, the run goes on", c->id);
 		return;
@@ -324,9 +325,8 @@
 	struct request *r = &e->call->request;
 
 	/*
-	 * Guards against two runs' bytes in one answer: a body that isn't a
-	 * stream of events has no place to go on from. It shows as an answer
-	 * with a second start in its middle.
+	 * A body that is not an event stream cannot be resumed: a second run
+	 * would put another start into the middle of the answer.
 	 */
 	if (e->end == ATTEMPT_BROKEN && answer_is_fixed(&e->call->answer))
 		r->resumable = false;
@@ -337,9 +337,9 @@
 }
 
 /*
- * Guards against callers who wait in vain: a call that would be too late even
- * if it got its backend server now is cut at the stop deadline, while another
- * node could run it meanwhile.
+ * Refuses queued calls that could not end before the stop deadline even if they
+ * got a backend server now. They would be cut at the deadline, while another
+ * node could run them in the meantime.
  */
 void
 daemon_call_leaving(struct daemon *d, msec now)
@@ -355,7 +355,7 @@
 	}
 }
 
-/* ---- what dispatch tells ---- */
+/* ---- callbacks of dispatch ---- */
 
 static enum request_code
 call_refusal_code(enum dispatch_refusal why)
--- a/daemon-caller.c
+++ b/daemon-caller.c
@@ -1,7 +1,7 @@
 /*
- * HTTP towards callers and the tool: libmicrohttpd's callbacks. A request is
- * read whole, checked and prepared in the caller's thread, then handed to the
- * core while its connection is suspended.
+ * HTTP server for callers, the tool and peers: libmicrohttpd's callbacks. A
+ * request is read whole, checked and prepared in the caller thread, then handed
+ * to the core while its connection is suspended.
  */
 
 #define LOG_PART "caller"
@@ -53,7 +53,7 @@
 	    resp, MHD_HTTP_HEADER_CONTENT_TYPE, a->content_type);
 	if (c->kind == CALL_REQUEST) {
 		MHD_add_response_header(resp, "Savorypier-Request", c->id);
-		/* A stream's outcome is known, and told, at its end. */
+		/* The outcome of a stream follows in a trailer. */
 		if (a->ended && !a->broken)
 			MHD_add_response_header(resp, "Savorypier-Outcome",
 			    request_outcome_name(a->outcome));
@@ -107,7 +107,8 @@
 	size_t max = c->daemon->settings.max_body_bytes;
 
 	if (c->body_too_large || c->body_len + n > max) {
-		/* Read to its end, so that the caller hears the answer. */
+		/* The rest is read and dropped, so that the caller reads the
+		 * answer. */
 		c->body_too_large = true;
 		return;
 	}
@@ -132,7 +133,7 @@
 	return c;
 }
 
-/* Hand it to the core; the connection waits. */
+/* Hands the call to the core; its connection is suspended. */
 static enum MHD_Result
 caller_submit(struct call *c)
 {
@@ -170,7 +171,7 @@
 			return caller_respond(c);
 		return caller_submit(c);
 	}
-	/* Resumed: the head may go out, or it was woken too early. */
+	/* Resumed: send the head, or wait on if it is not ready. */
 	if (!answer_wait(&c->answer))
 		return MHD_YES;
 	return caller_respond(c);
@@ -273,20 +274,20 @@
 	d->caller_http = caller_start(&d->caller_listener, &d->settings.caller,
 	    d->settings.caller_threads, d->settings.max_connections);
 	if (d->control_http == NULL || d->caller_http == NULL) {
-		log_warn("an HTTP address cannot be listened on");
+		log_warn("cannot listen on an HTTP address");
 		return false;
 	}
 	return true;
 }
 
 /*
- * No new connection is taken: a caller that tries is refused by the kernel,
- * which proves to it that nothing ran.
+ * Stops accepting connections: the kernel refuses new ones, which proves to the
+ * caller that nothing ran.
  *
- * Guards against an abort: MHD_quiesce_daemon() and a busy worker both take
- * the socket out of the worker's epoll set, and the second to do so ends the
- * process. The socket is shut down instead, which workers take for a socket
- * that is ready for ever, so this comes just before the end.
+ * MHD_quiesce_daemon() is not used: it and a busy worker both remove the socket
+ * from the worker's epoll set, and the second removal aborts the process. The
+ * socket is shut down instead. Workers then see it as always ready, so this is
+ * called just before the end.
  */
 void
 daemon_http_quiesce(struct daemon *d)
--- a/daemon-core.c
+++ b/daemon-core.c
@@ -1,5 +1,6 @@
 /*
- * The core loop: events from the other threads, messages from peers, time.
+ * The core loop: handles events of the other threads, messages of peers and
+ * timers.
  */
 
 #define LOG_PART "core"
@@ -11,7 +12,7 @@
 #include <signal.h>
 #include <unistd.h>
 
-/* The loop looks after everything that is due at least so often. */
+/* Longest time between two runs of core_tick(). */
 #define CORE_TICK_MS 100
 
 static void core_event(struct daemon *, struct event *, msec);
@@ -76,7 +77,7 @@
 {
 	struct signalfd_siginfo si;
 
-	/* A second SIGTERM finds the daemon leaving already: nothing is cut. */
+	/* A second SIGTERM has no effect: the daemon is leaving already. */
 	while (read(d->signal_fd, &si, sizeof si) == sizeof si)
 		daemon_leave(d, now);
 }
--- a/daemon-docs.c
+++ b/daemon-docs.c
@@ -1,6 +1,6 @@
 /*
- * Documents in force: the daemon's side of the documents stream. The core
- * folds records; caller threads see an immutable set by reference.
+ * Documents in force. The core folds the records of the documents stream and
+ * publishes an immutable, reference-counted set to the caller threads.
  */
 
 #define LOG_PART "docs"
@@ -8,7 +8,8 @@
 
 #include <string.h>
 
-/* Wait before a checkpoint, so that one node's spares the others theirs. */
+/* Longest random delay before a checkpoint, so that mostly one node writes it.
+ */
 #define DOCS_CHECKPOINT_WAIT_MS 3000
 
 static void docs_refresh(struct daemon *);
@@ -39,7 +40,7 @@
 	g_free(r);
 }
 
-/* The set in force now; it stays as it is until the reader drops it. */
+/* Returns the current set; it does not change until the reader drops it. */
 struct doc_set *
 doc_set_take(struct daemon *d)
 {
@@ -113,7 +114,7 @@
 	pthread_mutex_destroy(&d->docs_lock);
 }
 
-/* Put one folded version in force, unless it or a newer one is already. */
+/* Puts a folded version in force, unless it or a newer one already is. */
 static void
 docs_enforce(struct daemon *d, const struct doc_version *v, msec now)
 {
@@ -151,7 +152,7 @@
 	RB_FOREACH (v, doc_version_tree, &d->fold.services)
 		docs_enforce(d, v, now);
 	daemon_self_push(d, now);
-	/* Traits may have changed what an engine is given at first. */
+	/* The documents' traits set the initial slots of an engine. */
 	daemon_engines_push(d, now);
 }
 
@@ -210,7 +211,7 @@
 	}
 }
 
-/* ---- state from peers, when the log does not answer ---- */
+/* ---- import from a peer, until the documents are read ---- */
 
 static void
 docs_imported(struct daemon *d, struct fetch *f, msec now)
@@ -264,7 +265,8 @@
 	fetch_start(d, f);
 }
 
-/* The record that is due: a service's checkpoint, the index, or NULL. */
+/* Returns the record that is due: a service's checkpoint or the index; or NULL.
+ */
 static char *
 docs_checkpoint_text(struct daemon *d, const char *id)
 {
@@ -284,8 +286,8 @@
 }
 
 /*
- * One node writes the checkpoint: the first whose random wait is over. Two
- * of them, or a late one, do no harm: only a closed one tells anything.
+ * The node whose random delay ends first writes the checkpoint. Two checkpoints
+ * or a late one are harmless: only a complete one is used.
  */
 static void
 docs_checkpoint(struct daemon *d, msec now)
@@ -302,7 +304,7 @@
 	if (text == NULL)
 		return;
 	if (!d->checkpoint_seen) {
-		/* Due since just now: wait whether another writes it. */
+		/* It became due only now: give other nodes time to write it. */
 		d->checkpoint_seen = true;
 		return;
 	}
@@ -321,7 +323,8 @@
 	d->import_due = now + MSEC_SECOND;
 	if (!d->documents_read)
 		docs_import(d);
-	/* Without the list it knows no backend server, and turns all away. */
+	/* Without the VM list there is no backend server to send requests to.
+	 */
 	if (d->documents_read && d->vm_list_read &&
 	    d->state == DAEMON_JOINING) {
 		log_info("serving");
--- a/daemon-fetch.c
+++ b/daemon-fetch.c
@@ -1,6 +1,6 @@
 /*
- * Small exchanges with the platform and with peers: one thread with a libcurl
- * loop, results handed to the core.
+ * Short HTTP requests to the platform, peers and engines: one thread with a
+ * libcurl loop hands the results to the core.
  */
 
 #define LOG_PART "fetch"
--- a/daemon-join.c
+++ b/daemon-join.c
@@ -1,5 +1,5 @@
 /*
- * Callers that come back; see daemon-join.h.
+ * Joined calls; see daemon-join.h.
  */
 
 #define LOG_PART "join"
@@ -10,7 +10,7 @@
 
 #include <xxhash.h>
 
-/* One key of one organisation, and the call that was the first to bring it. */
+/* A key or ticket of an organisation, and the first call with it. */
 struct join {
 	RB_ENTRY(join) entry;
 	TAILQ_ENTRY(join) age; /* ended ones, oldest first */
@@ -92,7 +92,7 @@
 	const char *text = c->ticket != NULL ? c->ticket : c->key;
 
 	key->organisation = c->organisation;
-	/* A ticket and a key of the same text are two different things. */
+	/* The seed keeps a ticket and a key of the same text apart. */
 	key->key = XXH3_128bits_withSeed(text, strlen(text), c->ticket != NULL);
 }
 
@@ -123,7 +123,7 @@
 		return fresh ? join_first(t, &key, c) : JOIN_LOST;
 	if (j->body != c->body_hash) {
 		log_debug_of(LOG_REQUEST, c->id,
-		    "%s: its key stands for another body", c->id);
+		    "%s: its key belongs to another body", c->id);
 		return JOIN_OTHER_BODY;
 	}
 	if (!j->ended) {
@@ -148,9 +148,9 @@
 }
 
 /*
- * Guards the node's memory: a burst of keyed requests with long answers would
- * otherwise keep gigabytes. The oldest answers go first; their callers, if
- * they still come back, hear "unknown".
+ * Bounds the memory for kept answers: a burst of requests with keys and long
+ * answers could otherwise take gigabytes. The oldest are removed first; later
+ * calls with their keys are answered "unknown".
  */
 static void
 join_make_room(struct join_table *t)
@@ -183,7 +183,7 @@
 	}
 	if (first->request.outcome == REQUEST_NOT_RUN ||
 	    first->request.attempts == 0) {
-		/* It ran nothing, and may be tried again with the same key. */
+		/* Nothing ran: the key may be used again. */
 		join_forget(t, j);
 		return;
 	}
--- a/daemon-join.h
+++ b/daemon-join.h
@@ -1,7 +1,7 @@
 /*
- * Callers that come back: requests with a ticket or an Idempotency-Key are
- * remembered on their node, so that a second caller with the same one gets
- * the first one's answer instead of a second run.
+ * Joined calls: a node keeps requests with a ticket or an Idempotency-Key, so
+ * that a later call with the same one gets the first call's answer instead of a
+ * second run.
  */
 
 #ifndef DAEMON_JOIN_H
@@ -9,9 +9,9 @@
 
 #include "savory.h"
 
-/* So many keys and tickets are remembered. */
+/* Keys and tickets in the table. */
 #define JOIN_COUNT_MAX 4096
-/* Bytes of finished answers; beyond it the oldest are forgotten. */
+/* Bytes of finished answers; beyond it the oldest are removed. */
 #define JOIN_BYTES_MAX (32 * 1024 * 1024)
 
 struct call;
@@ -19,12 +19,12 @@
 struct join;
 
 enum join_verdict {
-	JOIN_FIRST,	 /* nobody before: run it, then join_ended() */
-	JOIN_WAITS,	 /* will be answered with the first */
-	JOIN_ANSWERED,	 /* has been given the first one's answer */
-	JOIN_LOST,	 /* the first ran, but its answer is not kept */
-	JOIN_OTHER_BODY, /* the key stands for another request */
-	JOIN_FULL	 /* too many are remembered */
+	JOIN_FIRST,	 /* first with this key: run it, then join_ended() */
+	JOIN_WAITS,	 /* gets the first call's answer when that ends */
+	JOIN_ANSWERED,	 /* the first call's answer was copied to it */
+	JOIN_LOST,	 /* it ran before, but no answer is kept */
+	JOIN_OTHER_BODY, /* the key belongs to another request */
+	JOIN_FULL	 /* the table is full */
 };
 
 struct join_table;
@@ -32,15 +32,15 @@
 struct join_table *join_table_new(void);
 void join_table_free(struct join_table *);
 /*
- * Look up the call by its organisation and key, or enter it as the first if
- * it may be: false says that it has run before, remembered or not.
+ * Look up the call by its organisation and its ticket or key. If it is not
+ * found, enter it as the first when `fresh`; else it has run before: JOIN_LOST.
  */
 enum join_verdict join_enter(struct join_table *, struct call *, bool fresh);
-/* The first has its outcome: its answer goes to all who wait. */
+/* The first call has ended: copies its answer to the waiting calls. */
 void join_ended(struct join_table *, struct call *, msec);
-/* Forget what has been over for longer than the last argument. */
+/* Remove entries that ended longer ago than the last argument. */
 void join_tick(struct join_table *, msec, msec);
-/* Whether its key or ticket has a run or a kept answer here. */
+/* Whether this node has a run or a kept answer for the key or ticket. */
 bool join_known(struct join_table *, const struct call *);
 unsigned int join_count(const struct join_table *);
 
--- a/daemon-limits.c
+++ b/daemon-limits.c
@@ -1,6 +1,6 @@
 /*
  * Limits of organisations on the core: an admitted request holds its part of
- * the limits until it ends; shares between nodes are share.c's.
+ * the limits until it ends. share.c divides the limits among the nodes.
  */
 
 #define LOG_PART "limits"
@@ -9,12 +9,12 @@
 #include <inttypes.h>
 #include <string.h>
 
-/* What a request is taken to make when its caller does not say. */
+/* Tokens reserved for a request at most, and if it sets no maximum. */
 #define LIMITS_TOKENS_GUESS 256
 #define LIMITS_RETRY_AFTER_MS 1000
-/* Calls over a limit are held for a loan or the next unit: so long, so many,
- * looked at so often; and while a started node waits for its first share
- * (DAEMON_YOUNG_MS). */
+/* Calls over a limit are held until a loan or a new unit arrives: for how long,
+ * how many, and how often they are retried. A node that has just started holds
+ * them until its first share can arrive (DAEMON_YOUNG_MS). */
 #define LIMITS_LOAN_MS 300
 #define LIMITS_HELD_MAX 256
 #define LIMITS_LOOK_MS 5
@@ -65,7 +65,7 @@
 	TAILQ_INIT(&d->held);
 }
 
-/* Nodes that take work; tells shares of each change. */
+/* Passes the nodes that take work to shares. */
 void
 daemon_limits_nodes(struct daemon *d, msec now,
     const struct dispatch_node *nodes, unsigned int n)
@@ -98,9 +98,9 @@
 }
 
 /*
- * How long a call over the limit is held. A loan from another node comes
- * within milliseconds; a node that has just started has no share of its own
- * before SHARE_RAISE is over, and would refuse everybody meanwhile.
+ * Returns until when a call over the limit is held. A loan from another node
+ * arrives within milliseconds; a node that has just started has no share of its
+ * own until SHARE_RAISE has passed, and would refuse all calls until then.
  */
 static msec
 limits_hold(const struct daemon *d, msec now)
@@ -116,16 +116,16 @@
 	    &c->request, now, REQUEST_CODE_LIMITED, LIMITS_RETRY_AFTER_MS);
 }
 
-/* True when the call may go on now; else it waits, or has been refused. */
+/* True when the call may go on now; else it is held or has been refused. */
 bool
 daemon_limits_take(struct daemon *d, struct call *c, msec now)
 {
 	if (limits_try(d, c, now))
 		return true;
 	/*
-	 * Guards a protected class: its organisation's limit may be used up
-	 * by the organisation's own routine work, and refusing a re-plan then
-	 * would be shedding it for a lower tier. It goes on, uncounted.
+	 * A protected class goes on without being counted: the organisation's
+	 * own routine work may have used up the limit, and a refusal would shed
+	 * a protected request in favour of a lower tier.
 	 */
 	if (c->doc->doc.classes[c->class_index].is_protected)
 		return true;
@@ -143,7 +143,7 @@
 	return false;
 }
 
-/* Try the calls that wait for a loan again; the next time to look. */
+/* Retries the held calls; returns the time of the next retry. */
 msec
 daemon_limits_tick(struct daemon *d, msec now)
 {
@@ -151,7 +151,7 @@
 	bool ok, time;
 
 	TAILQ_FOREACH_SAFE (c, &d->held, held_entry, next) {
-		/* Held in vain, it would hear of it at our stop deadline. */
+		/* A call without time is refused now, not at the deadline. */
 		time = daemon_stop_leaves_time(d, c, STOP_AHEAD_WHOLE, now);
 		ok = c->open && time && limits_try(d, c, now);
 		if (c->open && time && !ok && now < c->held_until)
@@ -159,8 +159,8 @@
 		TAILQ_REMOVE(&d->held, c, held_entry);
 		d->nheld--;
 		log_debug_of(LOG_REQUEST, c->id,
-		    "%s is held no more, %" PRId64 " ms after it came", c->id,
-		    now - c->arrived);
+		    "%s is no longer held, %" PRId64 " ms after it arrived",
+		    c->id, now - c->arrived);
 		if (ok)
 			daemon_admit_go(d, c, now);
 		else if (c->open && !time)
--- a/daemon-load.c
+++ b/daemon-load.c
@@ -1,6 +1,6 @@
 /*
- * Lagging load reports of engines, for the policies that go by them. Our own
- * policy does not: an owner knows what it has granted.
+ * Polls engines for load reports, which lag behind, for the policies that use
+ * them. The "owner" policy does not: an owner counts what it has granted.
  */
 
 #define LOG_PART "load"
--- a/daemon-route.h
+++ b/daemon-route.h
@@ -1,5 +1,5 @@
 /*
- * From path and method to what is to be done: authorization, checks and the
+ * Routes an HTTP request by path and method: authorization, checks and the
  * preparation of a call for the core. Runs in caller threads.
  */
 
@@ -9,8 +9,8 @@
 #include "daemon.h"
 
 /*
- * Check the call and fill in what the core needs. False when its answer is
- * ready already (an error, or a fixed answer).
+ * Check the call and fill in the fields that the core needs. False when the
+ * answer is already complete (an error, or a fixed answer).
  */
 bool
 route_prepare(const struct listener *, struct call *, struct MHD_Connection *);
--- a/daemon-watch.c
+++ b/daemon-watch.c
@@ -1,10 +1,10 @@
 /*
- * Callers that leave while their request waits.
+ * Detects callers that disconnect while their request waits.
  *
- * libmicrohttpd looks at no connection that it has suspended, and one whose
- * answer isn't there yet is suspended: its caller's close would be seen when
- * the answer comes, after a server has worked for nobody. So the core looks
- * at these sockets itself, for their end of input and for nothing else.
+ * libmicrohttpd does not poll suspended connections, and a connection is
+ * suspended until its answer is ready. A disconnect would be noticed only then,
+ * after a server has worked for nothing. So the core polls these sockets
+ * itself, only for the end of their input.
  */
 
 #define LOG_PART "watch"
@@ -14,7 +14,7 @@
 
 #include <unistd.h>
 
-/* Callers seen to leave at one look; the next look takes the others. */
+/* Disconnected callers handled per call; the next call handles the rest. */
 #define WATCH_BATCH 64
 
 static int watch_take(struct daemon *, struct call **);
@@ -35,7 +35,10 @@
 	pthread_mutex_destroy(&d->watch_lock);
 }
 
-/* By the connection's own thread, so that the socket cannot be another's. */
+/*
+ * Called by the connection's own thread, so that the socket cannot have been
+ * closed and reused.
+ */
 void
 daemon_watch_begin(struct call *c)
 {
@@ -50,16 +53,16 @@
 	c->watched_fd = info->connect_fd;
 	if (epoll_ctl(c->daemon->watch_fd, EPOLL_CTL_ADD, c->watched_fd, &ev) !=
 	    0) {
-		log_warn("%s: its caller is not watched: %s", c->id,
+		log_warn("%s: cannot watch its caller's connection: %s", c->id,
 		    g_strerror(errno));
 		c->watched_fd = -1;
 	}
 }
 
 /*
- * By the connection's own thread, before its socket is closed. Guards against
- * a call that is freed while the core looks at it: the core takes its
- * references under the same lock.
+ * Called by the connection's own thread before its socket is closed. The core
+ * takes its references under the same lock, so that no call is freed while the
+ * core uses it.
  */
 void
 daemon_watch_end(struct call *c)
@@ -74,7 +77,8 @@
 	pthread_mutex_unlock(&d->watch_lock);
 }
 
-/* References to the calls whose callers have left, and their number. */
+/* Stores references to calls whose callers disconnected; returns their number.
+ */
 static int
 watch_take(struct daemon *d, struct call **left)
 {
