--- a/daemon-docs.c
+++ b/daemon-docs.c
@@ -287,7 +287,7 @@
 
 /*
  * The node whose random delay ends first writes the checkpoint. Two checkpoints
- * or a late one are harmless: only a complete one is used.
+ * or a late one are harmless: only a closed one (doc-fold.h) counts.
  */
 static void
 docs_checkpoint(struct daemon *d, msec now)
--- a/daemon-engine.c
+++ b/daemon-engine.c
@@ -1,7 +1,7 @@
 /*
- * Engine threads: each carries attempts to backend servers with libcurl's
- * event interface on an epoll loop of its own, and passes the bytes on to the
- * callers' answers. Commands come from the core and from caller threads.
+ * Engine threads: each runs attempts on backend servers with libcurl's event
+ * interface on its own epoll loop, and appends the received bytes to the calls'
+ * answers. Commands come from the core and from caller threads.
  */
 
 #define LOG_PART "engine"
@@ -16,7 +16,7 @@
 
 #define ENGINE_EVENTS 256
 #define ENGINE_CONNECT_TIMEOUT_MS 2000L
-/* A backend server that sends nothing for so long has failed. */
+/* A backend server that sends nothing for this time has failed. */
 #define ENGINE_SILENCE_S 60L
 #define ENGINE_HOSTS_MAX 4096L
 
@@ -47,13 +47,14 @@
 	CURL *easy;
 	struct curl_slist *headers;
 	struct sse sse;
-	char echo[DAEMON_ID_SIZE]; /* the request id that came back */
+	char echo[DAEMON_ID_SIZE]; /* the X-Request-Id that the server returned
+				    */
 	char content_type[128];
-	char outcome[16]; /* what the node said that it was forwarded to */
+	char outcome[16]; /* Savorypier-Outcome of the node forwarded to */
 	long status;
-	bool head_whole; /* the answer's headers came to their end */
+	bool head_whole; /* the final headers are complete */
 	bool is_stream;
-	bool passed; /* some part has been passed on */
+	bool passed; /* EVENT_FIRST has been posted */
 	bool cancelled;
 	bool paused;
 };
@@ -108,7 +109,8 @@
 	return 0;
 }
 
-/* A model engine: not a plain service, nor a node that it is forwarded to. */
+/* The attempt runs on a model engine: not on a plain service or another node.
+ */
 static bool
 attempt_is_engine(const struct attempt *a)
 {
@@ -142,7 +144,8 @@
 	struct attempt *a = arg;
 
 	n *= size;
-	/* Interim answers (1xx) have a head too; trailers follow the last. */
+	/* Interim answers (1xx) have headers too; trailers may follow the
+	 * final ones. */
 	if (n > 5 && strncmp(p, "HTTP/", 5) == 0)
 		a->head_whole = false;
 	else if (n <= 2 && (n == 0 || p[0] == '\r' || p[0] == '\n'))
@@ -158,8 +161,8 @@
 }
 
 /*
- * The head of the answer is known once its first byte comes. False when the
- * answer is not this attempt's.
+ * Reads the status and headers once the first byte of the body arrives. False
+ * when the answer is not for this attempt or the attempt is abandoned.
  */
 static bool
 attempt_ready(struct attempt *a)
@@ -170,9 +173,9 @@
 		return true;
 	curl_easy_getinfo(a->easy, CURLINFO_RESPONSE_CODE, &a->status);
 	/*
-	 * Guards against a crossed answer: an engine that mixes up two
-	 * connections would give one caller another's text. It shows as an
-	 * echoed id that is not ours; the attempt then counts as broken.
+	 * An engine that mixes up two connections would send one caller the
+	 * text of another. If the returned id is not this call's, the attempt
+	 * counts as broken.
 	 */
 	if (!c->plain && c->forward_to == 0 && a->echo[0] != '\0' &&
 	    strcmp(a->echo, c->id) != 0) {
@@ -182,7 +185,7 @@
 	}
 	a->is_stream = strncmp(a->content_type, "text/event-stream", 17) == 0;
 	if (attempt_is_engine(a) && a->status >= 500)
-		return true; /* not passed on; judged at the end */
+		return true; /* not sent to the caller; see attempt_judge() */
 	return answer_head(&c->answer, a->number, (unsigned int)a->status,
 	    a->content_type[0] != '\0' ? a->content_type
 				       : "application/octet-stream");
@@ -202,7 +205,7 @@
 	event_post(a->thread->daemon, &e);
 }
 
-/* A run of whole server-sent events goes to the caller. */
+/* Appends one or more complete server-sent events to the answer. */
 static void
 attempt_events(void *arg, const char *p, size_t n, unsigned int tokens)
 {
@@ -255,7 +258,7 @@
 	a->headers = curl_slist_append(a->headers, line);
 }
 
-/* What the node that it is forwarded to must know. */
+/* Adds the headers that the node forwarded to needs. */
 static void
 attempt_forward_headers(struct attempt *a)
 {
@@ -294,7 +297,7 @@
 		attempt_add_header(a, "Content-Type: %s", c->content_type);
 	STAILQ_FOREACH (h, &c->headers, entry)
 		a->headers = curl_slist_append(a->headers, h->line);
-	/* No "100 Continue" round trip, and none of its time-outs. */
+	/* Suppresses "Expect: 100-continue": no round trip or time-out. */
 	a->headers = curl_slist_append(a->headers, "Expect:");
 }
 
@@ -333,10 +336,10 @@
 	curl_easy_setopt(a->easy, CURLOPT_LOW_SPEED_LIMIT, 1L);
 	curl_easy_setopt(a->easy, CURLOPT_LOW_SPEED_TIME, ENGINE_SILENCE_S);
 	/*
-	 * Guards against a second run: libcurl sends a request again by
-	 * itself when a kept connection turns out dead, and the server may
-	 * have read the first one. It shows as two executions of one request.
-	 * A connection of its own, never kept, is never found dead.
+	 * libcurl repeats a request when a reused connection turns out to be
+	 * closed, though the server may have read the first copy: the request
+	 * would run twice. A request that must not be repeated gets a new
+	 * connection, which is not reused.
 	 */
 	if (!c->repeatable) {
 		curl_easy_setopt(a->easy, CURLOPT_FRESH_CONNECT, 1L);
@@ -361,14 +364,14 @@
 	curl_multi_add_handle(t->multi, a->easy);
 }
 
-/* What the end of the transfer says of the attempt. */
+/* Classifies the end of the attempt by the result of the transfer. */
 static enum attempt_end
 attempt_judge(const struct attempt *a, CURLcode rc)
 {
 	long connects = 0;
 
 	if (rc == CURLE_COULDNT_CONNECT) {
-		/* Nothing was written: no connection ever stood. */
+		/* No connection was made: nothing was sent. */
 		return ATTEMPT_UNSENT;
 	}
 	if (rc == CURLE_OPERATION_TIMEDOUT) {
@@ -384,9 +387,8 @@
 	if (rc != CURLE_OK || a->cancelled)
 		return ATTEMPT_BROKEN;
 	/*
-	 * Guards against a head that breaks off: libcurl takes the close for
-	 * the end of an answer without a body. It shows as an empty answer
-	 * that is said to be whole.
+	 * If the connection closes within the headers, libcurl reports a
+	 * complete answer without a body; it must not be taken as whole.
 	 */
 	if (!a->head_whole)
 		return ATTEMPT_BROKEN;
@@ -394,7 +396,7 @@
 		return ATTEMPT_REJECTED;
 	if (attempt_is_engine(a) && a->status >= 500)
 		return ATTEMPT_BROKEN;
-	/* A stream without its end mark is a short answer, not a whole one. */
+	/* A stream without its end mark is incomplete. */
 	return a->is_stream ? ATTEMPT_BROKEN : ATTEMPT_WHOLE;
 }
 
--- a/daemon-ledger.c
+++ b/daemon-ledger.c
@@ -1,9 +1,10 @@
 /*
- * The daemon's side of the ledger: which node is the home of a shard, claims
- * of our own calls, claims that other nodes bring us as their home.
+ * The daemon's part of the ledger: selects the home node of each shard, claims
+ * the keys of this node's calls, and handles the claims of other nodes in the
+ * shards whose home this node is.
  *
- * The home only saves appends. What decides is the order of claims on the
- * log, so two nodes that both take themselves for the home do no harm.
+ * A home only batches appends. The order of claims on the log decides, so two
+ * nodes that both act as home of a shard are harmless.
  */
 
 #define LOG_PART "ledger"
@@ -15,14 +16,14 @@
 
 #include <xxhash.h>
 
-/* How long an entry node waits for a home's answer. */
+/* Time-out of an entry node's claim at the home. */
 #define CLAIM_WAIT_MS (LEDGER_CLAIM_TIMEOUT + MSEC_SECOND)
 #define CLAIM_RETRY_AFTER_MS 1000
 #define APPEND_TIMEOUT_MS (10 * MSEC_SECOND)
-/* Which shard an append belongs to, in the upper bits of its cookie. */
+/* The upper bits of an append's cookie hold its shard's number + 1. */
 #define COOKIE_SHARD_SHIFT 56
 
-/* A shard whose home we are. */
+/* The state of a shard; `home` is in use while this node is its home. */
 struct ledger_shard {
 	struct daemon *daemon;
 	unsigned int number;
@@ -31,7 +32,7 @@
 	bool gap_told;
 };
 
-/* Our calls and other nodes' queries that wait for a verdict, by claim. */
+/* Identifies a claim: key of the calls and queries that wait for a verdict. */
 struct claim_name {
 	name_id node;
 	uint64_t incarnation;
@@ -63,7 +64,7 @@
 static const char *const verdict_names[] = { "ours", "later", "other-body",
 	"too-old" };
 
-/* ---- who is home ---- */
+/* ---- the home of a shard ---- */
 
 static uint64_t
 home_weight(name_id node, unsigned int shard)
@@ -71,7 +72,7 @@
 	return XXH64(&node, sizeof node, shard);
 }
 
-/* The node for a shard among those that take work; 0 when there is none. */
+/* Returns a shard's home among the nodes that take work; 0: there is none. */
 static name_id
 home_node(struct daemon *d, unsigned int shard)
 {
@@ -137,7 +138,7 @@
 	}
 }
 
-/* ---- claims that wait ---- */
+/* ---- waiting claims ---- */
 
 static guint
 claim_name_hash(gconstpointer p)
@@ -158,7 +159,7 @@
 	struct call *older = claim_take(d, claim);
 
 	if (older != NULL) {
-		/* The entry node asks twice: the first query ends here. */
+		/* The entry node repeated its query: end the first one. */
 		if (older->kind == CALL_QUERY)
 			query_answer(
 			    older, LEDGER_UNDECIDED, LEDGER_TOO_OLD, NULL);
@@ -170,7 +171,7 @@
 	g_hash_table_replace(d->ledger->waiting, name, call_take(c));
 }
 
-/* The call that waits under the claim's name, with its reference; or NULL. */
+/* Removes the call that waits for the claim; returns it and its reference. */
 static struct call *
 claim_take(struct daemon *d, const struct ledger_claim *claim)
 {
@@ -187,7 +188,7 @@
 	return c;
 }
 
-/* ---- the wire between entry node and home ---- */
+/* ---- messages between entry node and home ---- */
 
 static json_t *
 claim_to_json(const struct ledger_claim *c)
@@ -231,7 +232,7 @@
 	return -1;
 }
 
-/* What a home answered a query of another entry node. */
+/* Answers the query of another entry node with the verdict. */
 static void
 query_answer(struct call *c, enum ledger_answer answer,
     enum ledger_verdict verdict, const struct ledger_claim *first)
@@ -250,7 +251,7 @@
 	json_decref(o);
 }
 
-/* POST /control/claim {"shard", "claim"}: another node's claim or end. */
+/* POST /control/claim {"shard", "claim"}: another node's claim or its end. */
 void
 query_claim(struct daemon *d, struct call *c, msec now)
 {
@@ -281,7 +282,7 @@
 		answer_text(&c->answer, 200, "application/json", "{}");
 }
 
-/* The home's answer has come back over HTTP, or none has. */
+/* The HTTP request to the home has ended, with or without an answer. */
 static void
 claim_fetched(struct daemon *d, struct fetch *f, msec now)
 {
@@ -316,10 +317,10 @@
 static void
 post_done(struct daemon *d, struct fetch *f, msec now)
 {
-	log_debug("an end was told, status %ld", f->status);
+	log_debug("end of a claim sent to its home, status %ld", f->status);
 }
 
-/* Send a claim or an end to another home; `c` gets the answer, or NULL. */
+/* Sends a claim, or its end with `c` NULL, to another node that is home. */
 static void
 claim_post(struct daemon *d, const struct member *m, unsigned int shard,
     const struct ledger_claim *claim, struct call *c)
@@ -342,7 +343,7 @@
 	fetch_start(d, f);
 }
 
-/* To the home of the claim's shard, whichever node that is. */
+/* Sends the claim to its shard's home, which may be this node. */
 static bool
 claim_send(struct daemon *d, msec now, unsigned int shard,
     const struct ledger_claim *claim, struct call *c)
@@ -361,7 +362,7 @@
 	return true;
 }
 
-/* ---- claims of our own calls ---- */
+/* ---- claims of this node's calls ---- */
 
 void
 daemon_ledger_claim(struct daemon *d, struct call *c, msec now)
@@ -386,8 +387,8 @@
 }
 
 /*
- * A verdict to run counts for a bounded time: after it, others may have
- * forgotten the claim, and a run of ours would be the second.
+ * A verdict to run is valid for a limited time: after it, other nodes may have
+ * dropped the claim, and a run here could be the second one.
  */
 bool
 daemon_ledger_may_run(const struct call *c, msec now)
@@ -396,8 +397,8 @@
 }
 
 /*
- * Take our claim back, so that the key can be used again. Only said when the
- * request has not run and never will.
+ * Withdraws this node's claim, so that the key can be used again. Only allowed
+ * when the request has not run and never will.
  */
 static void
 ledger_abandon(struct daemon *d, struct call *c, msec now)
@@ -408,7 +409,7 @@
 	claim_send(d, now, c->claim_shard, &end, NULL);
 }
 
-/* Our call has run nothing and never will: the key is free again. */
+/* Withdraws the claim of an ended call if nothing ran. */
 void
 daemon_ledger_ended(struct daemon *d, struct call *c, msec now)
 {
@@ -419,7 +420,8 @@
 	ledger_abandon(d, c, now);
 }
 
-/* Another node has claimed it first: ask that one, if it is still there. */
+/* Another node's claim came first: forwards the call to it if it still lives.
+ */
 static void
 ledger_later(struct daemon *d, struct call *c, msec now,
     const struct ledger_claim *first)
@@ -448,9 +450,9 @@
 	    answer_names[answer], verdict_names[verdict]);
 	if (answer != LEDGER_JUDGED) {
 		/*
-		 * This call is given up for good: a verdict that still comes
-		 * finds nobody waiting. Whether an earlier call with the key
-		 * has run is not known, so the outcome is "unknown".
+		 * The call fails for good: a later verdict finds no waiting
+		 * call. An earlier call with the key may have run, so the
+		 * outcome is "unknown".
 		 */
 		request_fail(&c->request, now, REQUEST_CODE_CLAIM_FAILED,
 		    CLAIM_RETRY_AFTER_MS);
@@ -458,7 +460,7 @@
 	}
 	switch (verdict) {
 	case LEDGER_OURS:
-		/* Nobody has run it before. */
+		/* No earlier call with the key has run. */
 		c->request.maybe_ran = false;
 		request_go(&c->request, now);
 		break;
@@ -511,10 +513,10 @@
 }
 
 /*
- * Guards against a page of an earlier time as home: the shard is followed
- * anew from the start, and a page that was read further on would make the new
- * fold believe that it missed what comes before. A key would then be
- * "unknown" for the whole window.
+ * A node that becomes home again reads the shard from its start, but may still
+ * receive a page that it requested when it was home before. The new fold would
+ * record the skipped entries as missing, and keys would be "unknown" for the
+ * whole window.
  */
 static bool
 ledger_page_is_stale(const struct ledger_shard *s, const struct log_event *e)
@@ -538,7 +540,7 @@
 		    p->entries[i].wall, p->entries[i].data, p->entries[i].len);
 }
 
-/* True when the event was the ledger's. */
+/* True when the event belongs to the ledger. */
 bool
 daemon_ledger_log_event(struct daemon *d, const struct log_event *e)
 {
--- a/daemon-metrics.c
+++ b/daemon-metrics.c
@@ -1,6 +1,6 @@
 /*
- * The daemon's metrics: requests counted as they end, and the counters of its
- * parts gathered for /metrics. See metrics.h.
+ * The daemon's metrics: counts each request when it ends, and collects the
+ * counters of all parts for /metrics. See metrics.h.
  */
 
 #define LOG_PART "metrics"
@@ -110,7 +110,7 @@
 	metrics_text_count(s, METRIC_DROPPED, nc->dropped);
 }
 
-/* User and system time together. */
+/* User and system time in seconds. */
 static double
 usage_seconds(const struct rusage *u)
 {
@@ -118,7 +118,7 @@
 	       (double)(u->ru_utime.tv_usec + u->ru_stime.tv_usec) / 1e6;
 }
 
-/* On the core thread, whose own time RUSAGE_THREAD is. */
+/* Runs on the core thread, so RUSAGE_THREAD is the core's time. */
 static void
 metrics_text_usage(GString *s)
 {
--- a/daemon-peers.c
+++ b/daemon-peers.c
@@ -1,6 +1,6 @@
 /*
- * Membership on the core: the socket between nodes, probes, the platform's
- * VM list, and what dispatch must know of nodes and backend servers.
+ * Membership on the core: the peer socket, probes, polling of the platform's VM
+ * list, and the lists of nodes and backend servers for dispatch.
  */
 
 #define LOG_PART "peers"
@@ -12,7 +12,7 @@
 #include <arpa/inet.h>
 
 #define VM_LIST_EVERY_MS 500
-/* Long lists are read less often: so many bytes a second at most. */
+/* Long lists are polled less often, to stay below this rate. */
 #define VM_LIST_BYTES_PER_S 3072
 #define VM_LIST_TIMEOUT_MS 2000
 
@@ -70,7 +70,7 @@
 		net_set_incarnation(&d->net, m->incarnation);
 	}
 	if (m == &ms->self && m->leaving) {
-		/* We are inside members.c: the next tick acts on it. */
+		/* Called from the membership code: the next tick leaves. */
 		d->told_to_leave = true;
 		return;
 	}
@@ -95,8 +95,8 @@
 		nodes[n].incarnation = m->incarnation;
 		nodes[n].domain = name_hash(m->domain);
 		/*
-		 * A suspect is mostly only slow: its duties stay where they
-		 * are until it is known to be dead.
+		 * A suspect node is usually just slow: it keeps its duties
+		 * until it is declared dead.
 		 */
 		nodes[n++].takes_work =
 		    m->state == MEMBER_ALIVE || m->state == MEMBER_SUSPECT;
@@ -164,7 +164,7 @@
 	return true;
 }
 
-/* One line of the list; false when it is malformed. */
+/* Decodes an entry of the list; false when it is malformed. */
 static bool
 vm_decode(const json_t *o, struct vm *vm)
 {
@@ -207,7 +207,7 @@
 	}
 }
 
-/* Tell dispatch of all backend servers, with the traits of the documents. */
+/* Passes all backend servers to dispatch, with the documents' traits. */
 void
 daemon_engines_push(struct daemon *d, msec now)
 {
@@ -247,7 +247,7 @@
 	    now + (msec)f->text_len * MSEC_SECOND / VM_LIST_BYTES_PER_S);
 	list = f->json != NULL ? json_object_get(f->json, "vms") : NULL;
 	if (f->status != 200 || !json_is_array(list)) {
-		log_debug("the VM list does not answer");
+		log_debug("cannot read the VM list");
 		return;
 	}
 	vms = g_new0(struct vm, json_array_size(list) + 1);
@@ -255,7 +255,7 @@
 		if (vm_decode(one, &vms[n]))
 			n++;
 		else
-			log_warn("line %zu of the VM list is malformed", i);
+			log_warn("entry %zu of the VM list is malformed", i);
 	}
 	if (members_set_list(&d->members, now, vms, n)) {
 		d->vm_list_read = true;
@@ -282,9 +282,9 @@
 }
 
 /*
- * What the directory goes by. A node that joins, or has just started, says
- * that it is full: it knows too little, or has no share of its organisations'
- * limits yet, and callers fare better elsewhere.
+ * Updates the load that the directory of every node uses to choose an entry VM.
+ * A node that is joining or has just started reports full load, because it
+ * lacks documents, the VM list or its share of the organisations' limits.
  */
 void
 daemon_self_push(struct daemon *d, msec now)
--- a/daemon-placement.c
+++ b/daemon-placement.c
@@ -1,9 +1,10 @@
 /*
- * Placement on the core: the lease of each model service through the log, and
- * while we hold it, the engines' states read and orders given.
+ * Placement on the core: claims the lease of each model service through the
+ * log and, while this node holds it, polls the engines' states and sends them
+ * orders. placement.c computes the orders.
  *
- * Only a few candidates a service read the lease stream and may claim, so the
- * stream costs the fleet the same at any size.
+ * Only a few candidate nodes per service read the lease stream and may claim,
+ * so the cost of the stream does not grow with the number of nodes.
  */
 
 #define LOG_PART "placement"
@@ -17,14 +18,14 @@
 #include <xxhash.h>
 
 #define PLACEMENT_CANDIDATES 3
-/* A lower candidate leaves the ones before it so long to claim. */
+/* A candidate waits this time for each candidate of higher rank to claim. */
 #define CANDIDATE_WAIT_MS (3 * MSEC_SECOND)
 #define STATE_EVERY_MS 1000
 #define STATE_EVERY_SETTLED_MS 5000
 #define STATE_TIMEOUT_MS 1000
 #define ROUND_EVERY_MS 200
 #define CLAIM_TIMEOUT_MS (5 * MSEC_SECOND)
-/* Marks our appends among the cookies; daemon-ledger.c uses 1 to 16. */
+/* Marks lease appends in cookies; daemon-ledger.c uses 1 to 16 there. */
 #define COOKIE_LEASE (UINT64_C(32) << 56)
 
 struct placed_service {
@@ -33,10 +34,10 @@
 	struct lease_user user;
 	struct placement placement;
 	uint64_t cookie;
-	msec claimable_since; /* MSEC_NEVER: it is not */
+	msec claimable_since; /* MSEC_NEVER: not claimable */
 	msec state_due;
 	msec round_due;
-	bool held; /* at the last look, for the log line */
+	bool held; /* at the last tick, to log changes */
 };
 TAILQ_HEAD(placed_list, placed_service);
 
@@ -54,7 +55,7 @@
 
 /* ---- candidates ---- */
 
-/* How many live nodes go before us for the service. */
+/* Returns how many live nodes rank before this node for the service. */
 static unsigned int
 candidate_rank(struct daemon *d, const char *service)
 {
@@ -103,7 +104,7 @@
 	return NULL;
 }
 
-/* A document is in force: its models are what the engines should have. */
+/* A document came into force: the engines should load its models. */
 void
 daemon_placement_document(
     struct daemon *d, const struct document *doc, msec now)
@@ -144,7 +145,7 @@
 	placement_engines_end(&s->placement);
 }
 
-/* ---- reading back ---- */
+/* ---- states of the engines ---- */
 
 struct state_query {
 	char service[NAME_SIZE];
@@ -217,7 +218,8 @@
 order_done(struct daemon *d, struct fetch *f, msec now)
 {
 	if (f->status == 409)
-		log_warn("an engine knows a newer lease than ours");
+		log_warn(
+		    "an engine refused an order: it has seen a newer lease");
 	else if (f->status != 200)
 		log_info("an order was answered with %ld", f->status);
 }
@@ -242,9 +244,9 @@
 }
 
 /*
- * Guards against a holder that was paused: it wakes and still believes in
- * its lease. The remaining term is looked at right before each order, on a
- * clock that ran through the pause, and must cover the order's own time-out.
+ * The remaining term is checked right before each order, because a holder that
+ * was paused may have lost its lease meanwhile. The clock runs on during a
+ * pause, and the term must cover the time-out of the order.
  */
 static bool
 placed_order(struct placement *p, struct placement_engine *e, msec now)
@@ -360,7 +362,8 @@
 	leases_follow(d, wanted);
 }
 
-/* A planned stop hands the lease over at once, instead of after its term. */
+/* Releases the leases on a planned stop, so that their terms need not expire.
+ */
 void
 daemon_placement_leave(struct daemon *d, msec now)
 {
@@ -402,7 +405,7 @@
 		lease_user_folded(&s->user, now, &dp->fold);
 }
 
-/* True when the event was the leases'. */
+/* True when the event belongs to the lease stream. */
 bool
 daemon_placement_log_event(
     struct daemon *d, const struct log_event *e, msec now)
@@ -423,7 +426,7 @@
 	return true;
 }
 
-/* For status and dumps: one object a service. */
+/* Returns an array with an object per service, for dumps. */
 json_t *
 daemon_placement_dump(struct daemon *d, msec now)
 {
--- a/daemon-query.c
+++ b/daemon-query.c
@@ -1,6 +1,6 @@
 /*
- * What the core answers by itself: the entry directory, models, metrics, and
- * the tool's status, dump and drain.
+ * Requests that the core answers without a backend server: the entry directory,
+ * models, tickets, metrics, and the tool's status, dump and drain.
  */
 
 #define LOG_PART "query"
@@ -290,7 +290,7 @@
 		"lifetime_ms", (json_int_t)TICKET_LIFE));
 }
 
-/* For a starting node, when the log does not answer. */
+/* The folded documents, for a node that has not read them from the log yet. */
 void
 query_state(struct daemon *d, struct call *c, msec now)
 {
--- a/daemon-route.c
+++ b/daemon-route.c
@@ -11,9 +11,10 @@
 
 #include <xxhash.h>
 
-/* Of a prompt's start, for prefix affinity; engines hash as much. */
+/* Bytes of the prompt's start that are hashed for prefix affinity; engines
+ * hash the same number. */
 #define ROUTE_PREFIX_BYTES 256
-/* A rough guess, where no tokenizer is at hand. */
+/* Estimates prompt tokens without a tokenizer. */
 #define ROUTE_BYTES_PER_TOKEN 4
 #define ROUTE_JOINING_RETRY_MS 1000
 
@@ -24,7 +25,7 @@
 	bool is_control;
 	bool (*prepare)(struct call *, struct MHD_Connection *);
 	call_query query;
-	const char *parameter; /* query string's, for the argument */
+	const char *parameter; /* of the query string, for call.argument */
 };
 
 static bool route_keys(struct call *, struct MHD_Connection *);
@@ -52,7 +53,7 @@
 	{ "GET", "/control/state", .is_control = true, .query = query_state },
 };
 
-/* The answer is ready: an error object with a stable code. */
+/* Completes the answer with an error object; returns false. */
 static bool
 route_error(
     struct call *c, unsigned int status, const char *code, const char *message)
@@ -69,8 +70,8 @@
 }
 
 /*
- * Guards against a node that has not read the documents yet and calls what it
- * does not know unknown: a caller takes 404 and 401 as final.
+ * A node that is joining answers 503 instead of `status`: it may lack
+ * documents, and a caller takes 404 and 401 as final.
  */
 static bool
 route_unknown(
@@ -131,7 +132,7 @@
 	return false;
 }
 
-/* The document of the named service, or of one that has the model. */
+/* Finds the document of the named service, or of any that has the model. */
 static struct doc_ref *
 route_find(const struct doc_set *set, const char *service, const char *model)
 {
@@ -147,7 +148,8 @@
 	return NULL;
 }
 
-/* Without a class header: the lowest tier, so that nobody jumps the queue. */
+/* Without a class header: the lowest tier, so that omitting it gives no
+ * priority. Negative: no such class. */
 static int
 route_class(const struct document *doc, const char *name)
 {
@@ -185,7 +187,7 @@
 	return c->arrived + (msec)ms;
 }
 
-/* What holds for requests of both kinds; takes over the reference. */
+/* Prepares a request to a model or plain service; takes the reference. */
 static bool
 route_request(
     struct call *c, struct MHD_Connection *connection, struct doc_ref *r)
@@ -214,7 +216,7 @@
 	return route_keys(c, connection);
 }
 
-/* A request's ticket or key, and what tells two bodies apart. */
+/* Reads the ticket or key, and hashes the request to tell two apart. */
 static bool
 route_keys(struct call *c, struct MHD_Connection *connection)
 {
@@ -241,7 +243,7 @@
 
 /* ---- tickets ---- */
 
-/* The organisation whose key it is, in whichever service. */
+/* Finds the organisation by its key in the documents of all services. */
 static bool
 route_ticket(struct call *c, struct MHD_Connection *connection)
 {
@@ -265,7 +267,7 @@
 
 /* ---- model requests ---- */
 
-/* The text that the answer depends on most: prompt, or the last message. */
+/* Returns the prompt, or the text of the last message. */
 static const char *
 route_prompt(const json_t *body)
 {
@@ -337,7 +339,7 @@
 
 /* ---- plain services ---- */
 
-/* Headers that concern one connection only, or that we set ourselves. */
+/* False for headers of the connection and those that this node sets. */
 static bool
 route_header_passes(const char *name)
 {
@@ -437,7 +439,7 @@
 	return strcmp(path, r->path) == 0;
 }
 
-/* The tool and peers show the key that the nodes share. */
+/* The tool and peers authenticate with the peer key. */
 static bool
 route_control_allowed(struct call *c, struct MHD_Connection *connection)
 {
--- a/daemon-stop.c
+++ b/daemon-stop.c
@@ -1,6 +1,7 @@
 /*
- * Leaving: no new work within seconds, every answer in flight finished, then
- * the end. From SIGTERM, the tool's drain, or the VM list.
+ * Graceful stop on SIGTERM, the tool's drain command, the VM list or a peer's
+ * request: the node takes no new work after a grace period, finishes the
+ * answers in flight, then ends.
  */
 
 #define LOG_PART "stop"
@@ -8,11 +9,13 @@
 
 #include <inttypes.h>
 
-/* Callers that keep a connection get so long to hear that it closes. */
+/* Time for kept connections without a request to close after the grace period.
+ */
 #define STOP_LINGER_MS 1000
-/* From the last connection taken, or the cut, to the end. */
+/* From the end of accepting connections, or the cut, to the end. */
 #define STOP_LAST_MS 100
-/* No call has come for so long; not waited for longer than the second. */
+/* The node ends after this time without a call; the wait is at most the second.
+ */
 #define STOP_QUIET_MS 500
 #define STOP_QUIET_MAX_MS 5000
 
@@ -47,8 +50,9 @@
 }
 
 /*
- * Only what we ran ourselves, and to its end: a joined answer took no time
- * here, and a caller who gives up says little of how long it would have taken.
+ * Only requests that this node ran to their end are recorded: a joined answer
+ * took no time here, and a request whose caller left early would have taken
+ * longer.
  */
 void
 daemon_stop_learn(struct daemon *d, const struct call *c, msec now)
@@ -62,11 +66,11 @@
 }
 
 /*
- * Guards against answers that break off at the stop deadline: callers come as
- * long as they keep our address, and one that was taken in the last seconds was
- * cut in the middle. What its class hardly ever takes longer than must fit
- * before the deadline; a caller who hears at once that nothing ran can ask
- * another node. Without a stop deadline every answer comes to its end.
+ * Callers use this node's address for a while after it starts to leave, and a
+ * request admitted in the last seconds would be cut at the stop deadline. The
+ * time that requests of the class rarely exceed must fit before the deadline;
+ * else the caller is refused at once and can use another node. Without a stop
+ * deadline every answer is finished.
  */
 bool
 daemon_stop_leaves_time(
@@ -80,7 +84,7 @@
 	left = d->leaving_since + d->settings.stop_deadline - now;
 	if (left <= 0)
 		return false;
-	/* No answer was seen, and its caller has no deadline: no promise. */
+	/* No recorded duration and no deadline of the caller: no time. */
 	most = left + 1;
 	if (c->slot.deadline != MSEC_NEVER)
 		most = c->slot.deadline - now;
@@ -90,10 +94,10 @@
 }
 
 /*
- * Guards against resetting a caller that connects in the moment in which the
- * listener is shut: it then sees neither a refusal nor an answer, and cannot
- * tell that nothing ran. Callers keep our address for a while; each that
- * comes hears "not run" and where else to ask, so soon none comes.
+ * A caller that connects while the listener is shut down gets a reset: neither
+ * a refusal nor an answer, so it cannot tell that nothing ran. The listener
+ * therefore stays open until no calls arrive. Callers keep this node's address
+ * for a while; each is answered "not run" with the addresses of other nodes.
  */
 static bool
 stop_is_quiet(const struct daemon *d, msec since)
@@ -104,10 +108,10 @@
 }
 
 /*
- * Guards against cutting an answer whose outcome is known but whose last
- * bytes are still on their way to a slow caller: `unsent` falls only when
- * libmicrohttpd has sent the answer to its end. Kept connections without a
- * request get a moment to send one and hear that this VM is leaving.
+ * An answer whose outcome is known may still have unsent bytes for a slow
+ * caller: `unsent` falls only when libmicrohttpd has sent the whole answer.
+ * Kept connections without a request get STOP_LINGER_MS to send one; its answer
+ * closes the connection.
  */
 static bool
 stop_is_done(struct daemon *d, msec since)
@@ -121,7 +125,7 @@
 	return daemon_http_connections(d) == 0;
 }
 
-/* Those who connected in the last moment still get their answer. */
+/* Stops accepting, then ends; the last connections still get their answers. */
 static void
 stop_end(struct daemon *d, msec now)
 {
@@ -137,9 +141,9 @@
 }
 
 /*
- * The stop deadline. Every answer ends visibly broken first: libmicrohttpd
- * aborts the process when it is stopped while a connection is suspended, as
- * it is when its caller waits for an engine.
+ * The stop deadline has passed: ends every answer as broken, which also resumes
+ * its connection. libmicrohttpd aborts the process if it is stopped while a
+ * connection is suspended, as that of a caller waiting for an engine is.
  */
 static void
 stop_cut(struct daemon *d, msec now)
@@ -161,9 +165,9 @@
 }
 
 /*
- * Guards against callers who do not hear that they were cut: the end of the
- * process takes the last event of their stream, or their whole answer, along
- * when it comes at once, and they see what a crashed VM looks like.
+ * The process ends STOP_LAST_MS after the cut: if it ended at once, the last
+ * event of a stream or a whole answer would be lost, and the caller could not
+ * tell the stop from a crashed VM.
  */
 static void
 stop_deadline_tick(struct daemon *d, msec now)
@@ -190,7 +194,7 @@
 		stop_deadline_tick(d, now);
 }
 
-/* Null: too few were seen to tell. */
+/* Null: too few recorded durations. */
 static json_t *
 stop_duration(const struct duration *t)
 {
--- a/daemon.h
+++ b/daemon.h
@@ -1,15 +1,15 @@
 /*
- * The daemon's main types. Threads, and what each may touch:
+ * The daemon's main types. Its threads and the data that each uses:
  *
  *   core      one loop; owns membership, dispatch, folds and every request
  *   caller    libmicrohttpd's threads; read documents, fill in struct call,
- *             pass answers on
- *   engine    one libcurl loop each; carry attempts to backend servers
- *   fetch     one libcurl loop for small exchanges: VM list, peers, orders
- *   log       log-client.h's thread
+ *             send answers to callers
+ *   engine    one libcurl loop each; run attempts on backend servers
+ *   fetch     one libcurl loop for short HTTP requests: VM list, peers, orders
+ *   log       the thread of log-client.h
  *
- * They hand typed events to the core over one ring, and get commands over
- * rings of their own. Nothing blocks the core.
+ * They post typed events to the core on one ring; engine and fetch threads
+ * receive commands on rings of their own. Nothing blocks the core.
  */
 
 #ifndef DAEMON_H
@@ -40,7 +40,7 @@
 
 #define DAEMON_RING_SIZE 65536
 #define DAEMON_ID_SIZE 96
-/* So long after its start a node may have no share of a limit. */
+/* Time after its start in which a node may have no share of a limit yet. */
 #define DAEMON_YOUNG_MS 6000
 #define ENDPOINT_SIZE 24
 
@@ -73,72 +73,77 @@
 void doc_set_publish(struct daemon *, struct doc_ref *);
 struct doc_ref *doc_set_find(const struct doc_set *, const char *);
 
-/* ---- the answer on its way from a backend server to the caller ---- */
+/* ---- the answer that a backend server sends to the caller ---- */
 
-/* Above this many waiting bytes the engine's stream is paused. */
+/* The engine's stream pauses at HIGH unsent bytes and resumes below LOW. */
 #define ANSWER_HIGH (256 * 1024)
 #define ANSWER_LOW (64 * 1024)
-/* The most that is kept of one answer for a caller that comes back. */
+/* Longest answer kept for a later call with the same ticket or key. */
 #define ANSWER_KEEP_MAX (256 * 1024)
 
 enum answer_put {
 	ANSWER_TAKEN,
-	ANSWER_PAUSE, /* full: the reader will say go on */
-	ANSWER_DROP   /* this attempt has been given up on */
+	ANSWER_PAUSE, /* full: the reader resumes the stream later */
+	ANSWER_DROP   /* the core has abandoned this attempt */
 };
 
 struct answer {
 	pthread_mutex_t lock;
 	struct MHD_Connection *connection;
 	struct MHD_Response *response;
-	unsigned int attempt; /* the only one whose bytes are taken */
+	unsigned int attempt; /* the only one that may write */
 	unsigned int status;
 	char content_type[128];
 	char *bytes;
 	size_t at, len, size;
-	bool head;	/* the head may go out */
-	bool ended;	/* no byte will be added */
-	bool broken;	/* it ends visibly broken */
-	bool suspended; /* the caller's connection waits for us */
-	bool paused;	/* the engine's stream waits for the reader */
-	bool gone;	/* the caller has left */
-	bool keep;	/* all bytes stay, for a caller that comes back */
+	bool head;	/* the head may be sent */
+	bool ended;	/* no more bytes follow */
+	bool broken;	/* the caller sees that it is incomplete */
+	bool suspended; /* the caller's connection is suspended */
+	bool paused;	/* the engine's stream is paused */
+	bool gone;	/* the caller has disconnected */
+	bool keep;	/* keep all bytes for later calls with the key */
 	enum request_outcome outcome;
 	enum request_code code;
 	msec retry_after;
 	char alternates[DIRECTORY_ALTERNATES * (ENDPOINT_SIZE + 2)];
-	bool close; /* the connection ends after this answer */
+	bool close; /* close the connection after this answer */
 };
 
 void answer_init(struct answer *, struct MHD_Connection *);
 void answer_finish(struct answer *);
-/* The core lets an attempt write; earlier ones no longer can. */
+/* Core: let an attempt write; earlier attempts no longer can. */
 void answer_allow(struct answer *, unsigned int attempt);
 /*
- * Engine threads. Whether the next delivery has room: ANSWER_PAUSE: it comes
- * again when the reader says so. What has come of one that had is taken whole.
+ * Engine threads: whether the next bytes may be put. ANSWER_PAUSE: not until
+ * the reader calls engine_unpause(). After ANSWER_TAKEN all bytes at hand may
+ * be put, whatever their number.
  */
 enum answer_put answer_room(struct answer *, unsigned int attempt);
-/* `head_now`: the head goes out with these bytes. */
+/* Append bytes; `head_now`: the head is sent with them. */
 enum answer_put answer_put(
     struct answer *, unsigned int attempt, const char *, size_t, bool head_now);
-/* Bytes that wait for the caller or are kept for it. */
+/* Bytes not yet sent, or all bytes while they are kept. */
 size_t answer_held(struct answer *);
+/* Set status and type before the first bytes; false: attempt is abandoned. */
 bool answer_head(struct answer *, unsigned int attempt, unsigned int status,
     const char *content_type);
-/* Part of it is out, and it is not a stream of events. */
+/* The head is sent or may be, and it is not an event stream. */
 bool answer_is_fixed(struct answer *);
 bool answer_is_gone(struct answer *);
-/* Core: where else the caller may ask, before answer_end(). */
+/* Core: other entry VMs for the caller; call it before answer_end(). */
 void answer_alternates(struct answer *, const char *);
-/* Core: the outcome, with a body of its own when nothing is out yet. */
+/* Core: set the outcome; writes an error body if no head was sent yet. */
 void answer_end(struct answer *, const struct request *);
-/* Give another call's whole answer; false when it was not all kept. */
+/* Copy the complete answer of another call; false if it was not kept. */
 bool answer_copy(struct answer *, struct answer *from);
-/* A complete answer that is not a backend server's. */
+/* Set a complete answer that this node makes itself. */
 void answer_text(
     struct answer *, unsigned int status, const char *type, const char *text);
-/* Caller threads: wait until the head may go out; true when it may. */
+/*
+ * Caller threads: whether the head may be sent; if not, the connection is
+ * suspended until it may.
+ */
 bool answer_wait(struct answer *);
 ssize_t answer_read(struct call *, char *, size_t);
 
@@ -146,7 +151,7 @@
 
 enum call_kind {
 	CALL_REQUEST, /* for a backend server */
-	CALL_QUERY    /* the core answers by itself */
+	CALL_QUERY    /* answered by the core */
 };
 
 typedef void (*call_query)(struct daemon *, struct call *, msec);
@@ -158,22 +163,22 @@
 STAILQ_HEAD(call_headers, call_header);
 
 /*
- * One HTTP request of a caller or of the tool. Filled in by a caller thread,
- * then handed to the core; reference counted between the threads.
+ * One HTTP request of a caller, a peer or the tool. Filled in by a caller
+ * thread, then handed to the core; reference counted between the threads.
  */
 struct call {
 	TAILQ_ENTRY(call) entry;      /* core: open calls */
-	TAILQ_ENTRY(call) held_entry; /* waits for a loan of a limit */
-	TAILQ_ENTRY(call) join_entry; /* waits for another's answer */
+	TAILQ_ENTRY(call) held_entry; /* held over a limit */
+	TAILQ_ENTRY(call) join_entry; /* waits for the first call's answer */
 	gint refs;
 	struct daemon *daemon;
 	enum call_kind kind;
 	call_query query;
 	char id[DAEMON_ID_SIZE];
 	char *method;
-	char *path;	    /* as asked for */
+	char *path;	    /* as the caller sent it */
 	char *backend_path; /* as sent to the backend server */
-	char *argument;	    /* the query's: see daemon-route.c */
+	char *argument;	    /* of the query; see daemon-route.c */
 	char *body;
 	size_t body_len, body_size;
 	bool body_read;
@@ -182,18 +187,18 @@
 	char *content_type;
 	char *ticket;	     /* Savorypier-Ticket, or NULL */
 	char *key;	     /* Idempotency-Key, or NULL */
-	char *authorization; /* as it came; only to forward it */
+	char *authorization; /* as received; only for forwarding */
 	uint64_t body_hash;  /* of method, path and body */
 	bool plain;	     /* for a plain service, not an engine */
-	bool streamed;	     /* server-sent events are asked for */
+	bool streamed;	     /* the body requests server-sent events */
 	bool repeatable;
-	struct doc_ref *doc; /* the version it started with */
+	struct doc_ref *doc; /* the version in force when it arrived */
 	unsigned int class_index;
 	name_id service;
 	name_id organisation;
 	msec arrived;
 	struct answer answer;
-	int watched_fd; /* its connection's socket, or -1; its thread's */
+	int watched_fd; /* its connection's socket, or -1; caller thread only */
 	/* Core only from here. */
 	struct request request;
 	struct dispatch_request slot;
@@ -201,14 +206,14 @@
 	msec dispatched;
 	msec first;
 	bool slot_held;
-	struct join *join;	   /* it is the first with its key */
-	bool ticket_taken;	   /* its is the first use of its ticket */
+	struct join *join;	   /* set if it is the first with its key */
+	bool ticket_taken;	   /* it was the first to use its ticket */
 	struct ledger_claim claim; /* request 0: none was made */
 	unsigned int claim_shard;
 	msec claimed;
-	name_id forward_to; /* the node whose ticket it brings, or 0 */
+	name_id forward_to; /* the node that decides on it, or 0 */
 	bool open;	    /* in the list of open calls */
-	bool limited;	    /* holds a part of its organisation\'s limits */
+	bool limited;	    /* holds a part of its organisation's limits */
 	unsigned int limited_tokens;
 	msec held_until;
 };
@@ -227,7 +232,7 @@
 /* ---- events for the core ---- */
 
 enum event_kind {
-	EVENT_CALL,	 /* a call is complete */
+	EVENT_CALL,	 /* a call has been read and prepared */
 	EVENT_CALL_GONE, /* its connection broke */
 	EVENT_FIRST,	 /* first part of an answer passed on */
 	EVENT_ENDED,	 /* an attempt ended */
@@ -240,7 +245,7 @@
 	unsigned int attempt;
 	enum attempt_end end;
 	unsigned int tokens;
-	enum request_outcome forwarded; /* said by the node forwarded to */
+	enum request_outcome forwarded; /* reported by the node forwarded to */
 	msec at;
 	struct fetch *fetch;
 };
@@ -252,14 +257,14 @@
 
 struct engine_thread *engine_thread_start(struct daemon *);
 void engine_thread_stop(struct engine_thread *);
-/* Carry the call's live attempt to an address. Core only. */
+/* Start the call's current attempt at an address. Core only. */
 void engine_start(struct engine_thread *, struct call *, uint32_t, uint16_t);
-/* End it; EVENT_ENDED still follows. Core only. */
+/* Cancel an attempt; EVENT_ENDED still follows. Core only. */
 void engine_cancel(struct engine_thread *, struct call *, unsigned int);
-/* The caller's side has room again. Caller threads. */
+/* Resume a paused attempt: the answer has room again. Caller threads. */
 void engine_unpause(struct engine_thread *, struct call *, unsigned int);
 
-/* ---- small exchanges ---- */
+/* ---- short HTTP requests ---- */
 
 /* One GET or POST; `done` runs on the core. */
 struct fetch {
@@ -270,7 +275,7 @@
 	void (*done)(struct daemon *, struct fetch *, msec);
 	void *arg;
 	/* The result. */
-	bool sent;   /* the other side may have acted */
+	bool sent;   /* the receiver may have acted on it */
 	long status; /* 0: no answer */
 	json_t *json;
 	char *text;
@@ -279,9 +284,9 @@
 
 struct fetch_thread *fetch_thread_start(struct daemon *);
 void fetch_thread_stop(struct fetch_thread *);
-/* Its memory and what it holds; not while it is under way. */
+/* Free the fetch and its fields; not while it is in progress. */
 void fetch_free(struct fetch *);
-/* Takes the fetch; it is freed after done(). */
+/* Start the fetch and take ownership of it; it is freed after done(). */
 void fetch_start(struct daemon *, struct fetch *);
 
 /* ---- backend servers, from the VM list ---- */
@@ -306,7 +311,7 @@
 /* ---- the daemon ---- */
 
 enum daemon_state {
-	DAEMON_JOINING, /* has not read documents and the VM list */
+	DAEMON_JOINING, /* has not yet read the documents and the VM list */
 	DAEMON_SERVING,
 	DAEMON_LEAVING
 };
@@ -317,7 +322,7 @@
 	enum daemon_state state; /* read by caller threads with g_atomic_int */
 	msec started;
 	msec leaving_since;
-	msec last_call; /* when the last request came */
+	msec last_call; /* arrival of the latest request */
 	struct ring events;
 	struct ring log_events;
 	int epoll_fd;
@@ -328,14 +333,14 @@
 	struct members members;
 	struct dispatch dispatch;
 	struct shares shares;
-	struct call_list held; /* over a limit, waiting for a loan */
+	struct call_list held; /* over a limit, waiting for a loan or a unit */
 	unsigned int nheld;
 	struct doc_fold fold;
 	bool documents_read; /* to the log's end, or from a peer */
 	bool log_down;
 	uint64_t log_first, log_next;
-	msec checkpoint_at;   /* look whether one is due */
-	bool checkpoint_seen; /* one was due at the last look */
+	msec checkpoint_at;   /* next check whether one is due */
+	bool checkpoint_seen; /* one was due at the last check */
 	pthread_mutex_t docs_lock;
 	struct doc_set *docs;
 	struct log_io *log;
@@ -346,15 +351,15 @@
 	struct MHD_Daemon *control_http;
 	struct listener caller_listener;
 	struct listener control_listener;
-	msec quiesced; /* since when no new connection is taken, or 0 */
-	msec cut;      /* when the stop deadline cut what was left, or 0 */
-	uint64_t stop_no_time; /* turned away: would not end in time */
+	msec quiesced;	       /* when accepting connections stopped, or 0 */
+	msec cut;	       /* when the stop deadline cut the rest, or 0 */
+	uint64_t stop_no_time; /* refused: could not end in time */
 	uint64_t stop_cut;     /* requests cut at the deadline */
-	gint unsent;	       /* answers not yet sent to their end; atomic */
+	gint unsent;	       /* answers not yet sent completely; atomic */
 	struct backend_tree backends;
 	msec load_due;
 	msec vm_list_due;
-	bool told_to_leave; /* by the VM list or by peers */
+	bool told_to_leave; /* the VM list or a peer requests it */
 	bool vm_list_busy;
 	bool vm_list_read;
 	msec import_due;
@@ -379,7 +384,7 @@
 extern const struct request_ops daemon_request_ops;
 extern const struct dispatch_ops daemon_dispatch_ops;
 void daemon_call_gone(struct daemon *, struct call *, msec);
-/* Turn away those that wait for a backend server with no time to run. */
+/* Refuse queued calls that could not end before the stop deadline. */
 void daemon_call_leaving(struct daemon *, msec);
 void daemon_call_first(struct daemon *, const struct event *, msec);
 void daemon_call_ended(struct daemon *, const struct event *, msec);
@@ -393,9 +398,9 @@
 /* Its organisation's limits allow it. */
 void daemon_admit_go(struct daemon *, struct call *, msec);
 void daemon_admit_ended(struct daemon *, struct call *);
-/* It would not end before we do; its slot has been given back. */
+/* Refuse a call that could not end before the stop; it holds no slot. */
 void daemon_admit_leaving(struct daemon *, struct call *, msec);
-/* It belongs to another node, which decides. */
+/* Forward the call to the node that decides whether it runs. */
 void
 daemon_forward(struct daemon *, struct call *, const struct member *, msec);
 /* daemon-ledger.c: claims of Idempotency-Keys through the log */
@@ -408,7 +413,7 @@
 bool daemon_ledger_log_event(struct daemon *, const struct log_event *);
 msec daemon_ledger_tick(struct daemon *, msec);
 void query_claim(struct daemon *, struct call *, msec);
-/* daemon-load.c: load reports, for the policies that go by them */
+/* daemon-load.c: load reports, for the policies that use them */
 void daemon_load_tick(struct daemon *, msec);
 /* daemon-limits.c: limits of organisations */
 void daemon_limits_init(struct daemon *, msec);
@@ -431,9 +436,9 @@
 void daemon_peers_tick(struct daemon *, msec);
 void daemon_peers_finish(struct daemon *);
 void daemon_peers_send(struct daemon *, name_id, const sp_msg *);
-/* Tell peers our documents and our load. */
+/* Update the documents and the load that this node reports to peers. */
 void daemon_self_push(struct daemon *, msec);
-/* Tell every part which nodes there are. */
+/* Pass the list of nodes to dispatch, ledger and limits. */
 void daemon_nodes_push(struct daemon *, msec);
 void daemon_engines_push(struct daemon *, msec);
 struct backend *daemon_backend_find(struct daemon *, name_id);
@@ -442,33 +447,33 @@
 void daemon_docs_finish(struct daemon *);
 void daemon_docs_log_event(struct daemon *, struct log_event *, msec);
 void daemon_docs_tick(struct daemon *, msec);
-/* daemon-metrics.c: a request has ended; a record goes to the log; the text */
+/* daemon-metrics.c: counts ended requests and log appends; /metrics */
 void daemon_metrics_ended(struct daemon *, const struct call *, msec);
 void daemon_metrics_append(struct daemon *, enum metrics_append);
 char *daemon_metrics_text(const struct daemon *);
 /* daemon-stop.c: leaving and the end */
 void daemon_leave(struct daemon *, msec);
-/* We have left for so long that no new work is taken. */
+/* The grace period of the leave is over: no new work is taken. */
 bool daemon_stop_is_past_grace(const struct daemon *, msec);
-/* What of a request is still to come. */
+/* The parts of a request that are still ahead. */
 enum stop_ahead {
 	STOP_AHEAD_WHOLE, /* its wait for a backend server, and its run */
 	STOP_AHEAD_RUN	  /* its run */
 };
-/* Can it end before we do? */
+/* Whether the call can end before the stop deadline. */
 bool daemon_stop_leaves_time(
     struct daemon *, const struct call *, enum stop_ahead, msec);
-/* A request has ended: how long its class's take. */
+/* Record the duration of an ended request for its class. */
 void daemon_stop_learn(struct daemon *, const struct call *, msec);
 void daemon_stop_tick(struct daemon *, msec);
-/* How the stop stands, and what is known of how long requests take. */
+/* The progress of the stop and the recorded durations, for the dump. */
 json_t *daemon_stop_dump(struct daemon *, msec);
-/* daemon-caller.c: HTTP towards callers and the tool */
+/* daemon-caller.c: HTTP server for callers, the tool and peers */
 bool daemon_http_start(struct daemon *);
 void daemon_http_quiesce(struct daemon *);
 unsigned int daemon_http_connections(struct daemon *);
 void daemon_http_stop(struct daemon *);
-/* daemon-query.c: what the core answers by itself */
+/* daemon-query.c: requests that the core answers */
 void query_entry(struct daemon *, struct call *, msec);
 void query_models(struct daemon *, struct call *, msec);
 void query_metrics(struct daemon *, struct call *, msec);
--- a/savorypierd.c
+++ b/savorypierd.c
@@ -1,6 +1,6 @@
 /*
- * savorypierd: the daemon on every entry VM. Arguments, settings, and the
- * order in which its parts start and stop.
+ * savorypierd: the daemon on every entry VM. Reads arguments and settings, then
+ * starts and stops the daemon's parts in order.
  */
 
 #define LOG_PART "main"
@@ -55,7 +55,7 @@
 	"Route language-model traffic with service levels and priorities.",
 	NULL, NULL, NULL };
 
-/* Signals are read from a descriptor by the core; no thread takes them. */
+/* Blocked in all threads: the core reads SIGTERM and SIGINT from a signalfd. */
 static void
 main_block_signals(void)
 {
@@ -69,9 +69,9 @@
 }
 
 /*
- * Greater at each start of a node, also when it starts on another VM: the
- * wall clock in microseconds. A clock set back makes the node seem older
- * than its predecessor; peers then tell it, and members.c raises it.
+ * Returns a number that grows with each start of a node, on any VM: the wall
+ * clock in microseconds. If the clock was set back, peers report their higher
+ * incarnation, and the membership code raises this node's above it.
  */
 static uint64_t
 main_incarnation(void)
@@ -98,7 +98,7 @@
 	daemon_docs_init(d);
 	daemon_placement_init(d);
 	if (!daemon_peers_init(d, now)) {
-		log_warn("the address between nodes cannot be used");
+		log_warn("cannot use the peer address");
 		return false;
 	}
 	d->joins = join_table_new();
@@ -117,7 +117,7 @@
 	return daemon_watch_open(d) && daemon_http_start(d);
 }
 
-/* Events that nobody will handle any more; their references go. */
+/* Frees events that will not be handled any more, and their references. */
 static void
 main_drop_events(struct daemon *d)
 {
@@ -127,7 +127,7 @@
 	while ((e = ring_get(&d->events)) != NULL) {
 		if (e->call != NULL)
 			call_drop(e->call);
-		/* Its done() has nobody to tell any more. */
+		/* The core has ended: done() is not called. */
 		if (e->kind == EVENT_FETCHED)
 			fetch_free(e->fetch);
 		g_free(e);
