--- a/daemon-answer.c
+++ b/daemon-answer.c
@@ -1,6 +1,6 @@
 /*
  * The answer to a call: a buffer that an engine thread or the core fills and
- * libmicrohttpd's thread of the caller's connection empties.
+ * the libmicrohttpd thread of the caller's connection reads.
  */
 
 #define LOG_PART "answer"
--- a/daemon-docs.c
+++ b/daemon-docs.c
@@ -163,8 +163,8 @@
 	unsigned int i;
 
 	if (!doc_fold_gap(&d->fold, p->first)) {
-		log_warn("documents before %" G_GUINT64_FORMAT
-			 " are gone from the log",
+		log_warn("document records before offset %" G_GUINT64_FORMAT
+			 " are no longer in the log",
 		    p->first);
 	}
 	for (i = 0; i < p->nentries; i++) {
@@ -177,7 +177,7 @@
 	d->log_next = p->next;
 	if (d->fold.next >= p->next && doc_fold_exact(&d->fold) &&
 	    !d->documents_read) {
-		log_info("caught up with the documents at %" G_GUINT64_FORMAT,
+		log_info("read all documents up to offset %" G_GUINT64_FORMAT,
 		    p->next);
 		d->documents_read = true;
 	}
@@ -226,7 +226,7 @@
 	docs_refresh(d);
 	if (json_is_true(json_object_get(f->json, "caught_up"))) {
 		if (!d->documents_read)
-			log_info("took the documents from a peer");
+			log_info("imported the documents from a peer");
 		d->documents_read = true;
 	}
 }
--- a/daemon-engine.c
+++ b/daemon-engine.c
@@ -180,7 +180,8 @@
 	if (!c->plain && c->forward_to == 0 && a->echo[0] != '\0' &&
 	    strcmp(a->echo, c->id) != 0) {
 		log_warn_of(LOG_REQUEST, a->call->id,
-		    "answer for %s came to %s", a->echo, c->id);
+		    "answer with the id %s received for request %s", a->echo,
+		    c->id);
 		return false;
 	}
 	a->is_stream = strncmp(a->content_type, "text/event-stream", 17) == 0;
--- a/daemon-placement.c
+++ b/daemon-placement.c
@@ -221,7 +221,7 @@
 		log_warn(
 		    "an engine refused an order: it has seen a newer lease");
 	else if (f->status != 200)
-		log_info("an order was answered with %ld", f->status);
+		log_info("an order returned status %ld", f->status);
 }
 
 static char *
--- a/daemon-query.c
+++ b/daemon-query.c
@@ -242,7 +242,7 @@
 	return NULL;
 }
 
-/* The whole state, or one part of it. */
+/* Answers with all parts of the dump, or with the named one. */
 void
 query_dump(struct daemon *d, struct call *c, msec now)
 {
--- a/daemon-route.c
+++ b/daemon-route.c
@@ -216,7 +216,7 @@
 	return route_keys(c, connection);
 }
 
-/* Reads the ticket or key, and hashes the request to tell two apart. */
+/* Reads the ticket or key, and hashes the request to detect another body. */
 static bool
 route_keys(struct call *c, struct MHD_Connection *connection)
 {
--- a/daemon-stop.c
+++ b/daemon-stop.c
@@ -134,7 +134,7 @@
 		d->quiesced = now;
 	} else if (now - d->quiesced >= STOP_LAST_MS) {
 		log_info("nothing in flight, ending; %" PRIu64
-			 " were turned away for lack of time",
+			 " requests were refused for lack of time",
 		    d->stop_no_time);
 		d->stopping = true;
 	}
@@ -151,7 +151,7 @@
 	struct call *c;
 
 	log_warn("stop deadline reached, %u requests are cut, %" PRIu64
-		 " were turned away for lack of time",
+		 " were refused for lack of time",
 	    d->ncalls, d->stop_no_time);
 	while ((c = TAILQ_FIRST(&d->calls)) != NULL) {
 		d->stop_cut++;
