--- a/buffer.c
+++ b/buffer.c
@@ -1,5 +1,5 @@
 /*
- * Bytes queued in one block; see buffer.h.
+ * A byte queue in one contiguous allocation; see buffer.h.
  */
 
 #include "buffer.h"
--- a/duration.c
+++ b/duration.c
@@ -1,19 +1,19 @@
 /*
- * How long requests of a kind take; see duration.h.
+ * Estimates of request durations; see duration.h.
  */
 
 #include "duration.h"
 
 #include <math.h>
 
-/* With fewer the deviation says nothing. */
+/* With fewer samples the deviation is meaningless. */
 #define DURATION_LEAST_SEEN 8
-/* Weight of the newest. A greater one doubles the noise of the estimate. */
+/* Weight of the newest sample; a larger one doubles the estimate's noise. */
 #define DURATION_ALPHA 0.0625
 /*
- * Deviations above the mean. With 5, 1.0 to 3.7% of the answers of nine kinds
- * took longer (two fleets of 60 and 82 nodes that were all restarted in turn,
- * 37,000 answers, replayed from their logs).
+ * Deviations above the mean for the upper estimate. With 5, between 1.0 and
+ * 3.7% of the responses of nine kinds exceed it (37,000 responses from the logs
+ * of rolling restarts of 60 and 82 nodes).
  */
 #define DURATION_TIMES 5
 
@@ -28,10 +28,10 @@
 		return;
 	}
 	/*
-	 * Plain means at first. Else a first answer that is short holds the
-	 * estimate down after 8 answers, when it is first gone by: 2.1% of
-	 * 3,245 answers (9th to 16th of a kind, replayed from nodes' logs)
-	 * took longer than it then, 0.5% do so with it.
+	 * The first samples have equal weight. Otherwise a short first response
+	 * keeps the estimate too low when it is first used, after 8 responses:
+	 * of the 9th to 16th responses of a kind 2.1% exceeded it (3,245 from
+	 * node logs), with equal weights 0.5%.
 	 */
 	alpha = MAX(DURATION_ALPHA, 1.0 / d->seen);
 	off = (double)took - d->mean;
@@ -42,7 +42,7 @@
 void
 duration_learn_at_least(struct duration *d, msec took)
 {
-	/* That it takes longer than less than usual says nothing. */
+	/* A lower bound below the mean carries no information. */
 	if ((double)took > d->mean)
 		duration_learn(d, took);
 }
--- a/duration.h
+++ b/duration.h
@@ -1,10 +1,10 @@
 /*
- * How long requests of one kind take, as seen lately, so that a node that is
- * about to end can tell which it is able to finish. A mean and a mean deviation
- * (Jacobson: "Congestion Avoidance and Control", 1988) follow a change of load
- * within a few dozen requests and need no memory of single ones.
+ * Estimates how long requests of one kind take, so that a node that is shutting
+ * down can decide which requests it has time to finish. A smoothed mean and
+ * mean deviation (Jacobson: "Congestion Avoidance and Control", 1988) follow a
+ * change of load within a few dozen requests and store no single durations.
  *
- * Without input or output.
+ * Does no I/O.
  */
 
 #ifndef DURATION_H
@@ -12,22 +12,25 @@
 
 #include "savory.h"
 
-/* In the embedder's memory; all zero is one that has seen nothing. */
+/* Allocated by the caller; a zeroed struct has no samples. */
 struct duration {
 	double mean, deviation; /* ms, smoothed */
-	uint64_t seen;
+	uint64_t seen;		/* samples */
 };
 
-/* One took so long. */
+/* Add the duration of a finished request, in ms. */
 void duration_learn(struct duration *, msec);
-/* One was given up after so long: it would have taken longer still. */
+/*
+ * Add a request that was abandoned after so many ms: a lower bound of its
+ * duration.
+ */
 void duration_learn_at_least(struct duration *, msec);
 /*
- * Hardly one takes longer than that, in ms. Never more than `most`, which
- * stands as long as too few were seen.
+ * An upper estimate in ms that few requests exceed. At most `most`, which is
+ * also returned while there are too few samples.
  */
 msec duration_most(const struct duration *, msec most);
-/* The usual one, in ms; `unknown` as long as too few were seen. */
+/* The mean duration in ms; `unknown` while there are too few samples. */
 msec duration_usual(const struct duration *, msec unknown);
 
 #endif /* DURATION_H */
--- a/exchange.c
+++ b/exchange.c
@@ -1,5 +1,5 @@
 /*
- * Calls to one service on a kept connection; see exchange.h.
+ * An HTTP client on one persistent connection; see exchange.h.
  */
 
 #define LOG_PART "exchange"
@@ -17,7 +17,7 @@
 #define EXCHANGE_HEAD_MAX 16384
 #define EXCHANGE_BODY_MAX ((uint64_t)8 * 1024 * 1024)
 #define EXCHANGE_READ 32768
-/* Bytes of ours that are not confirmed for so long: the path is gone. */
+/* The path counts as lost when sent bytes stay unacknowledged for so long. */
 #define EXCHANGE_SILENT_MS 1500
 
 static void exchange_ready(struct loop_io *, uint32_t);
@@ -97,7 +97,7 @@
 	g_strlcpy(x->value, value != NULL ? value : "", sizeof x->value);
 }
 
-/* The call is over; the connection stays only after a whole answer. */
+/* End the request; the connection is kept only after a complete response. */
 static void
 exchange_end(struct exchange *x, unsigned int status, msec now)
 {
@@ -194,11 +194,11 @@
 	loop_timer_set(x->loop, &x->timer, x->asked + timeout);
 	if (x->io.fd != -1) {
 		x->reused = true;
-		/* epoll says at once that it can be written. */
+		/* epoll reports at once that the socket is writable. */
 		loop_watch(x->loop, &x->io, EPOLLIN | EPOLLOUT);
 		return;
 	}
-	/* A failure is told by the timer, not from in here. */
+	/* A failure is reported by the timer, never from within this call. */
 	if (!exchange_connect(x))
 		loop_timer_set(x->loop, &x->timer, x->asked);
 }
@@ -214,7 +214,7 @@
 	if (n == -1 && (errno == EAGAIN || errno == EINTR))
 		return;
 	if (!x->busy || n == -1) {
-		/* Idle: it ends, or says what nobody asked for. */
+		/* While idle: the peer closed it or sent unrequested bytes. */
 		if (x->busy)
 			exchange_fail(x, now);
 		else
--- a/exchange.h
+++ b/exchange.h
@@ -1,6 +1,6 @@
 /*
- * One HTTP call after the other to one address, on a connection that is kept:
- * for a service that is asked again and again, by long polls too.
+ * An HTTP client for one address: one request at a time on a persistent
+ * connection, for services that are called repeatedly, including by long polls.
  */
 
 #ifndef EXCHANGE_H
@@ -13,10 +13,13 @@
 
 struct exchange;
 
-/* Of a header field's value; a longer one is cut. */
+/* Bytes kept of a header field's value; a longer value is truncated. */
 #define EXCHANGE_VALUE 32
 
-/* The status and exchange->body, or status 0: there was no whole answer. */
+/*
+ * Called when the request ends: with the response's status and exchange->body,
+ * or with status 0 if no complete response arrived.
+ */
 typedef void (*exchange_done)(struct exchange *, unsigned int, msec);
 
 struct exchange {
@@ -26,39 +29,41 @@
 	uint16_t port;
 	exchange_done done;
 	/*
-	 * Asked when a connection stands and the first byte is about to go
-	 * out, which may be long after the call: false, and it is not sent.
-	 * NULL: always.
+	 * Called when the connection is established and the first byte is
+	 * about to be sent, which may be long after exchange_call(). If it
+	 * returns false, the request is not sent. NULL: always send.
 	 */
 	bool (*sending)(struct exchange *, msec);
 	void *arg;
-	msec asked; /* when the call in hand, or the last one, was made */
-	bool busy;
-	struct buffer body; /* of the answer; good within done() */
-	/* A header field whose value is wanted; NULL: none. */
+	msec asked; /* when the current or last exchange_call() was made */
+	bool busy;  /* a request is in progress */
+	struct buffer body; /* of the response; valid within done() */
+	/* The header field to copy from the response; NULL: none. */
 	const char *field;
-	char value[EXCHANGE_VALUE]; /* "" when it is missing, or there twice */
+	char value[EXCHANGE_VALUE]; /* "" when the field is missing or repeated
+				     */
 	/* Private from here. */
 	struct http_reader reader;
-	struct buffer request; /* kept until an answer begins */
+	struct buffer request; /* kept for a repeat until the request ends */
 	size_t written;
 	struct loop_timer timer;
 	bool connecting;
-	bool reused;
-	bool repeat; /* may be sent again on a new connection */
+	bool reused; /* the connection has carried an earlier request */
+	bool repeat; /* the request may be sent again on a new connection */
 };
 
 void exchange_init(struct exchange *, struct loop *, uint32_t, uint16_t,
     exchange_done, void *);
 void exchange_finish(struct exchange *);
 /*
- * Call with method, target, and a body of so many bytes. The answer must be
- * whole after `timeout`. A GET that finds its kept connection closed goes out
- * once more on a new one. Not while one is busy.
+ * Send a request with a method, a target and a body of so many bytes. It fails
+ * unless the response is complete within `timeout` ms. A GET whose persistent
+ * connection turns out to be closed is sent once more on a new one. Must not be
+ * called while `busy`.
  */
 void exchange_call(struct exchange *, const char *method, const char *target,
     const void *body, size_t, msec timeout);
-/* The same with more header fields, each with its line end. */
+/* The same with additional header fields, each ending in CRLF. */
 void
 exchange_call_fields(struct exchange *, const char *method, const char *target,
     const char *fields, const void *body, size_t, msec timeout);
--- a/http-message.c
+++ b/http-message.c
@@ -1,5 +1,5 @@
 /*
- * HTTP messages from bytes; see http-message.h.
+ * An incremental HTTP/1.1 parser; see http-message.h.
  */
 
 #define LOG_PART "http"
@@ -22,7 +22,7 @@
 	.on_message_complete = parser_whole,
 };
 
-/* ---- the library's callbacks ---- */
+/* ---- callbacks of http-parser ---- */
 
 static int
 parser_headers(struct http_parser *p)
@@ -31,7 +31,7 @@
 
 	r->head->keep_alive = http_should_keep_alive(p) != 0;
 	r->stage = HTTP_STAGE_BODY;
-	/* 1 says that no body follows, whatever the head says. */
+	/* 1: no body follows, whatever the head contains. */
 	return r->to_head ? 1 : 0;
 }
 
@@ -112,7 +112,7 @@
 
 /* ---- the head ---- */
 
-/* Splits "name: value" in place; false for what must not pass. */
+/* Split "name: value" in place; false if the field is malformed. */
 static bool
 field_split(char *line, size_t n, struct http_field *f)
 {
@@ -135,7 +135,7 @@
 	return true;
 }
 
-/* "METHOD target HTTP/1.x" or "HTTP/1.x status words", in place. */
+/* Split "METHOD target HTTP/1.x" or "HTTP/1.x status reason" in place. */
 static bool
 start_split(struct http_reader *r, char *line, size_t n)
 {
@@ -166,8 +166,9 @@
 }
 
 /*
- * Guards against two readings of where a body ends: a second request inside
- * the first would run unasked. One length or chunks, never both, never twice.
+ * Guards against request smuggling: where parsers disagree about the end of a
+ * body, a request hidden in it would be executed. A message has one length or
+ * chunked coding, never both, and neither twice.
  */
 static bool
 head_framing(struct http_reader *r)
@@ -231,7 +232,7 @@
 	return false;
 }
 
-/* The head is there: the library's reading first, then ours. */
+/* The head is complete: parse it with http-parser, then check and split it. */
 static void
 reader_head(struct http_reader *r)
 {
@@ -250,7 +251,7 @@
 		reader_fail(r, HTTP_ERROR_MALFORMED);
 }
 
-/* Copy up to the end of the head; a bare line feed ends it all. */
+/* Copy up to the end of the head; a bare line feed makes it malformed. */
 static size_t
 reader_take_head(struct http_reader *r, const char *bytes, size_t n)
 {
@@ -310,7 +311,7 @@
 		reader_fail(r, HTTP_ERROR_CUT);
 }
 
-/* ---- looking at a head ---- */
+/* ---- access to a head ---- */
 
 const char *
 http_head_get(const struct http_head *h, const char *name)
