--- a/log-client.c
+++ b/log-client.c
@@ -1,6 +1,5 @@
 /*
- * The log for callers that may block: the tool and the tests; see
- * log-client.h.
+ * The blocking log client of the tool and the tests; see log-client.h.
  */
 
 #define LOG_PART "log"
@@ -86,7 +85,8 @@
 	}
 }
 
-/* Wait half to all of the backoff, so that many clients don't march in step. */
+/* Wait between half and all of the backoff, so that clients don't synchronise.
+ */
 static void
 backoff_wait(msec *backoff, msec until)
 {
@@ -99,12 +99,12 @@
 }
 
 /*
- * The failure met here: the answer to an append is lost after the append took
- * effect. It shows as a timeout or a cut connection. Reading the stream back
- * for the id tells; when it is not there yet, appending again is harmless,
- * since every fold ignores an id that it has seen. An attempt that may have
- * been taken stays possible for ever, so the result is then never "nothing
- * appended".
+ * Guards against a response that is lost after the append took effect, which
+ * appears as a timeout or a broken connection. The stream is then read back to
+ * look for the id. If the id is not there yet, appending again is harmless,
+ * since every fold of the stream ignores ids that it has processed. An attempt
+ * with an unknown outcome may still take effect later, so after one the result
+ * is never "not appended".
  */
 uint64_t
 log_append_id(const char *base, const char *stream, const char *text,
--- a/log-http.c
+++ b/log-http.c
@@ -1,5 +1,5 @@
 /*
- * One HTTP exchange with the log service; see log-http.h.
+ * One HTTP request to the log service; see log-http.h.
  */
 
 #define LOG_PART "log"
@@ -45,7 +45,7 @@
 	log_http_setup();
 	h->easy = curl_easy_init();
 	if (h->easy == NULL)
-		g_error("no memory for an exchange with the log");
+		g_error("out of memory for a request to the log service");
 	h->answer = g_string_new(NULL);
 	h->headers = NULL;
 	h->error[0] = '\0';
@@ -88,11 +88,11 @@
 }
 
 /*
- * Sort a failed exchange into "the log certainly took nothing" and "it may
- * have". Only what was never handed to the network, or was answered with a
- * status for which the service promises that nothing was appended, is
- * certain. A connection cut after the request left shows as "empty answer"
- * or a timeout and may well have taken effect.
+ * Classify a failed request as "certainly not appended" or "possibly appended".
+ * It is certain only if the request was never sent, or if the response has a
+ * status for which the service guarantees that nothing was appended. A
+ * connection that broke after the request was sent appears as an empty response
+ * or a timeout, and the append may have taken effect.
  */
 static bool
 http_check(struct log_http *h, CURLcode rc, GError **error)
@@ -112,7 +112,7 @@
 	}
 	if (status == 503)
 		g_set_error(error, SAVORY_ERROR, SAVORY_ERROR_UNREACHABLE,
-		    "%s: the log is out of service", h->url);
+		    "%s: the log service is unavailable", h->url);
 	else if (status >= 400 && status < 500)
 		g_set_error(error, SAVORY_ERROR, SAVORY_ERROR_REFUSED,
 		    "%s: status %ld", h->url, status);
@@ -136,7 +136,7 @@
 	if (offset > 0)
 		return (uint64_t)offset;
 	g_set_error(error, SAVORY_ERROR, SAVORY_ERROR_UNKNOWN,
-	    "%s: an answer without an offset", h->url);
+	    "%s: the response has no offset", h->url);
 	return 0;
 }
 
@@ -150,7 +150,7 @@
 	if (log_page_decode(page, h->answer->str, h->answer->len))
 		return true;
 	g_set_error(error, SAVORY_ERROR, SAVORY_ERROR_UNKNOWN,
-	    "%s: an answer that is no page of records", h->url);
+	    "%s: the response is not a page of records", h->url);
 	return false;
 }
 
--- a/log-http.h
+++ b/log-http.h
@@ -1,6 +1,7 @@
 /*
- * One HTTP exchange with the log service, prepared and judged the same way
- * for the blocking client and for the daemon's thread.
+ * One HTTP request to the log service and the evaluation of its response,
+ * shared by the blocking client (log-client.c) and the daemon's thread
+ * (log-io.c).
  */
 
 #ifndef LOG_HTTP_H
@@ -10,9 +11,9 @@
 
 #include <curl/curl.h>
 
-/* Most records that one read asks for. */
+/* Records requested by one read, at most. */
 #define LOG_READ_MAX 32
-/* An answer longer than this is cut off, so that no answer fills memory. */
+/* A longer response fails the read, so that none exhausts memory. */
 #define LOG_ANSWER_BYTES_MAX (64 * 1024 * 1024)
 
 struct log_http {
@@ -23,22 +24,29 @@
 	char error[CURL_ERROR_SIZE];
 };
 
-/* Once a process, before any exchange; further calls do nothing. */
+/* Initialise libcurl once per process; further calls do nothing. */
 void log_http_setup(void);
-/* base URL, stream, text (not copied: it outlives the exchange), timeout */
+/*
+ * Prepare an append: base URL, stream, text, timeout. The text is not copied
+ * and must stay valid until log_http_finish().
+ */
 void log_http_append(
     struct log_http *, const char *, const char *, const char *, msec);
-/* base URL, stream, from, most records, wait, timeout */
+/*
+ * Prepare a read: base URL, stream, from, maximum number of records, how long
+ * the service may wait for new ones, timeout.
+ */
 void log_http_read(struct log_http *, const char *, const char *, uint64_t,
     unsigned int, msec, msec);
-/* The offset of the append, or 0 and the error of log_append(). */
+/* The result of an append: its offset, or 0 and an error as of log_append(). */
 uint64_t log_http_appended(struct log_http *, CURLcode, GError **);
+/* The result of a read; false and an error if it failed. */
 bool log_http_page(struct log_http *, CURLcode, struct log_page *, GError **);
-/* Milliseconds that the service asked to wait (Retry-After), or 0. */
+/* The response's Retry-After in milliseconds, or 0. */
 msec log_http_retry_after(const struct log_http *);
 void log_http_finish(struct log_http *);
 
-/* Decode the answer of a read. */
+/* Decode the response body of a read. */
 bool log_page_decode(struct log_page *, const char *, size_t);
 
 #endif /* LOG_HTTP_H */
--- a/log-io.c
+++ b/log-io.c
@@ -1,8 +1,8 @@
 /*
- * The log for a daemon: one thread follows streams by long polls and appends
- * records, over curl's multi interface, and hands events to the core loop.
- * Callers' wishes come in as commands through a ring, so that the thread
- * shares nothing with its callers but two rings and the flag that stops it.
+ * The daemon's log client: one thread follows streams by long polls and appends
+ * records, over curl's multi interface, and passes events to the core loop.
+ * Callers send commands through a ring, so that the thread shares only two
+ * rings and a stop flag with them.
  */
 
 #define LOG_PART "log"
@@ -13,14 +13,14 @@
 #include <string.h>
 
 #define COMMANDS_MAX 4096
-/* Appends whose exchange is under way at one time. */
+/* Appends with a request in progress, at most. */
 #define APPENDS_MAX 8
 #define POLL_WAIT (4 * MSEC_SECOND)
 #define POLL_TIMEOUT (POLL_WAIT + 3 * MSEC_SECOND)
 #define EXCHANGE_TIMEOUT (5 * MSEC_SECOND)
 #define BACKOFF_FIRST ((msec)50)
 #define BACKOFF_MOST (2 * MSEC_SECOND)
-/* The service counts as down after so many failures in a row. */
+/* The service counts as down after so many consecutive failures. */
 #define DOWN_AFTER 3
 #define EVENT_RETRY ((msec)5)
 
@@ -41,27 +41,28 @@
 };
 
 enum op_state {
-	OP_WAITING, /* until its time, for budget or for a free exchange */
+	OP_WAITING, /* for not_before, rate budget or a free append */
 	OP_READING, /* a page of a followed stream */
 	OP_APPENDING,
-	OP_LOOKING /* reading back for the id */
+	OP_LOOKING /* reading back to find the id */
 };
 
-/* A stream that is followed, or an append until its outcome is known. */
+/* A followed stream, or an append whose outcome is not known yet. */
 struct op {
 	TAILQ_ENTRY(op) entry;
 	bool is_append;
 	enum op_state state;
 	bool look_next; /* read back before the next append */
-	bool unknown;	/* an attempt may have been taken */
+	bool unknown;	/* an earlier attempt may have been appended */
 	char stream[NAME_SIZE];
-	uint64_t from; /* next offset to read */
-	uint64_t look; /* where the reading back goes on */
-	unsigned int most;
+	uint64_t from;	   /* next offset to read */
+	uint64_t look;	   /* next offset to read back */
+	unsigned int most; /* records requested by the next read */
 	char *text;
 	char id[LOG_ID_SIZE];
 	uint64_t cookie;
-	uint64_t appended; /* where a retry stands; an earlier one may too */
+	uint64_t
+	    appended; /* offset of a retry; an earlier attempt may precede */
 	msec until;
 	msec not_before;
 	msec backoff;
@@ -69,7 +70,7 @@
 };
 TAILQ_HEAD(op_list, op);
 
-/* An event that found the ring full. */
+/* An event that waits because the ring is full. */
 struct late_event {
 	STAILQ_ENTRY(late_event) entry;
 	struct log_event *event;
@@ -83,10 +84,10 @@
 	pthread_t thread;
 	gint stop;
 
-	/* The rest belongs to the thread. */
+	/* Used by the thread only. */
 	CURLM *multi;
 	struct op_list ops;
-	unsigned int nappends; /* exchanges under way */
+	unsigned int nappends; /* append requests in progress */
 	unsigned int rate;
 	double tokens;
 	msec filled_at;
@@ -132,9 +133,9 @@
 	STAILQ_INIT(&io->late);
 	io->multi = curl_multi_init();
 	if (io->multi == NULL || !ring_init(&io->commands, COMMANDS_MAX))
-		g_error("no memory for the log's thread");
+		g_error("out of memory for the log thread");
 	if (pthread_create(&io->thread, NULL, io_main, io) != 0)
-		g_error("no thread for the log");
+		g_error("cannot create the log thread");
 	return io;
 }
 
@@ -165,7 +166,7 @@
 	g_free(io);
 }
 
-/* Hand a command to the thread; false when its ring is full. */
+/* Queue a command for the thread; false if the ring is full. */
 static bool
 command_put(struct log_io *io, struct command *c)
 {
@@ -195,14 +196,15 @@
 
 	c->from = MAX(from, 1);
 	if (!command_put(io, c))
-		log_warn("too busy to follow %s", stream);
+		log_warn("command queue full: cannot follow %s", stream);
 }
 
 void
 log_io_unfollow(struct log_io *io, const char *stream)
 {
 	if (!command_put(io, command_new(COMMAND_UNFOLLOW, stream)))
-		log_warn("too busy to stop following %s", stream);
+		log_warn(
+		    "command queue full: cannot stop following %s", stream);
 }
 
 bool
@@ -276,7 +278,7 @@
 	g_free(c);
 }
 
-/* Start whatever may start now, oldest first. */
+/* Start every waiting operation that may start now, oldest first. */
 static void
 io_step(struct log_io *io, msec now)
 {
@@ -291,7 +293,7 @@
 		}
 		if (now < op->not_before)
 			continue;
-		/* A reader that lags is not fed more than it can hold. */
+		/* Read no more pages while the event ring is full. */
 		if (!op->is_append && !STAILQ_EMPTY(&io->late))
 			continue;
 		op_start(io, op, now);
@@ -307,7 +309,7 @@
 	if (!STAILQ_EMPTY(&io->late))
 		until = now + EVENT_RETRY;
 	TAILQ_FOREACH (op, &io->ops, entry) {
-		/* The analyzer loses the list's links in TAILQ_REMOVE. */
+		/* The analyzer doesn't follow the links in TAILQ_REMOVE. */
 		/* NOLINTNEXTLINE(clang-analyzer-unix.Malloc) */
 		if (op->state != OP_WAITING)
 			continue;
@@ -316,7 +318,7 @@
 		else if (op->is_append || !STAILQ_EMPTY(&io->late))
 			until = MIN(until, now + EVENT_RETRY);
 		else
-			/* A page has just come: read on at once. */
+			/* A page has just arrived: read the next at once. */
 			return 0;
 	}
 	return until - now;
@@ -342,9 +344,10 @@
 }
 
 /*
- * The core loop may be slow and its ring full. An event is never dropped,
- * since a lost page would be a hole in the fold: it waits here, and no
- * further page is read meanwhile.
+ * Pass an event to the core loop. If the ring is full because the core loop is
+ * slow, the event waits in io->late and no more pages are read meanwhile.
+ * Events are never dropped, since the fold of a stream would miss the records
+ * of a lost page.
  */
 static void
 io_emit(struct log_io *io, struct log_event *e)
@@ -371,7 +374,7 @@
 	}
 }
 
-/* Keep track of whether the service answers; refusals are answers. */
+/* Track whether the service responds; a refusal counts as a response. */
 static void
 io_heard(struct log_io *io, const GError *e)
 {
@@ -379,18 +382,18 @@
 
 	io->failures = good ? 0 : io->failures + 1;
 	if (good && io->down) {
-		log_info("the log service answers again");
+		log_info("the log service responds again");
 		io->down = false;
 		io_emit(io, event_new(LOG_EVENT_UP, NULL));
 	}
 	if (!good && !io->down && io->failures >= DOWN_AFTER) {
-		log_warn("the log service does not answer: %s", e->message);
+		log_warn("the log service does not respond: %s", e->message);
 		io->down = true;
 		io_emit(io, event_new(LOG_EVENT_DOWN, NULL));
 	}
 }
 
-/* The node's own share of the appends that the service takes a second. */
+/* Take a token from this node's share of the service's append rate. */
 static bool
 budget_take(struct log_io *io, msec now)
 {
@@ -421,8 +424,8 @@
 }
 
 /*
- * An append can't stand before what had been read of its stream when it was
- * first sent, so `from` is where a look for it begins.
+ * An append cannot have an offset below what this thread had already read of
+ * the stream when it was first sent, so reading back starts at `from`.
  */
 static void
 op_new(struct log_io *io, const struct command *c, uint64_t from)
@@ -483,8 +486,8 @@
 }
 
 /*
- * Wait half to all of the backoff, so that nodes which failed together don't
- * come back together; doubled for the next time.
+ * Wait between half and all of the backoff, so that nodes which failed together
+ * don't retry together, and double it for the next time.
  */
 static void
 op_backoff(struct op *op, msec now, msec least)
@@ -507,7 +510,7 @@
 	io_emit(io, e);
 }
 
-/* Out of time: say no more than what is certain. */
+/* End a timed-out append; report success or failure only if certain. */
 static void
 op_give_up(struct log_io *io, struct op *op)
 {
@@ -515,7 +518,7 @@
 		op_end(io, op, LOG_EVENT_APPENDED, op->appended);
 		return;
 	}
-	log_debug("append to %s given up, %s", op->stream,
+	log_debug("append to %s timed out, %s", op->stream,
 	    op->unknown ? "outcome unknown" : "nothing appended");
 	op_end(io, op,
 	    op->unknown ? LOG_EVENT_APPEND_UNKNOWN : LOG_EVENT_APPEND_FAILED,
@@ -535,7 +538,7 @@
 	io_heard(io, error);
 	if (!ok) {
 		log_debug("reading %s failed: %s", op->stream, error->message);
-		/* Long records may not fit in one answer: ask for one. */
+		/* Long records may exceed a response: request one only. */
 		if (rc == CURLE_WRITE_ERROR)
 			op->most = 1;
 		op_backoff(op, now, 0);
@@ -567,7 +570,7 @@
 		return;
 	}
 	if (offset != 0) {
-		/* An earlier attempt may stand before this one. */
+		/* An earlier attempt may have a lower offset. */
 		op->appended = offset;
 		op->look_next = true;
 		return;
@@ -584,11 +587,11 @@
 }
 
 /*
- * The failure met here: the answer to an append was lost after the record was
- * taken. It shows as a cut connection or a timeout. The record is looked for
- * by its id up to the stream's end; found, its first offset is the answer.
- * Not found, it is sent again, which is harmless when the first still turns
- * up, as folds ignore an id that they have seen.
+ * Guards against a response that is lost after the record was appended, which
+ * appears as a broken connection or a timeout. The stream is searched up to its
+ * end for the record's id. If it is found, its first offset is the result. If
+ * not, the record is sent again; should the first attempt still take effect,
+ * this is harmless, as folds ignore ids that they have processed.
  */
 static void
 op_look_done(struct log_io *io, struct op *op, CURLcode rc, msec now)
--- a/log-record.c
+++ b/log-record.c
@@ -1,6 +1,5 @@
 /*
- * Records on the platform's log: JSON text with a format version, a kind and
- * a unique id; see log-record.h.
+ * Encoding of records in the platform's log; see log-record.h.
  */
 
 #define LOG_PART "log"
@@ -20,11 +19,11 @@
 	unsigned int i;
 
 	/*
-	 * Two records with one id would be taken for one; there is no safe
-	 * way on without random numbers.
+	 * Folds ignore the second of two records with the same id, so a record
+	 * without a random id could be lost.
 	 */
 	if (getrandom(b, sizeof b, 0) != (ssize_t)sizeof b)
-		g_error("no random numbers for a record's id");
+		g_error("cannot get random numbers for a record id");
 	for (i = 0; i < sizeof b; i++)
 		g_snprintf(id + 2 * i, 3, "%02x", b[i]);
 }
@@ -43,7 +42,7 @@
 
 	if (len > LOG_RECORD_BYTES_MAX)
 		return NULL;
-	/* Jansson refuses text that is not UTF-8 and doubled object keys. */
+	/* Jansson rejects text that is not UTF-8, and duplicate object keys. */
 	o = json_loadb(data, len, JSON_REJECT_DUPLICATES, NULL);
 	if (o == NULL)
 		return NULL;
--- a/loop.c
+++ b/loop.c
@@ -10,7 +10,7 @@
 #include <unistd.h>
 
 #define LOOP_BATCH 64
-/* Without a timer the loop still turns so often. */
+/* The longest wait, also without a timer. */
 #define LOOP_IDLE_MS 1000
 
 static int loop_timer_compare(struct loop_timer *, struct loop_timer *);
@@ -18,7 +18,7 @@
 RB_PROTOTYPE(loop_timers, loop_timer, entry, loop_timer_compare)
 RB_GENERATE(loop_timers, loop_timer, entry, loop_timer_compare)
 
-/* Events of the turn in hand, so that a closed descriptor's can be dropped. */
+/* Events of the current iteration, so that loop_close() can discard some. */
 static __thread struct epoll_event *batch;
 static __thread int batch_len;
 
@@ -57,7 +57,8 @@
 	if (io->events == events)
 		return true;
 	if (epoll_ctl(l->epoll_fd, op, io->fd, &ev) == -1) {
-		log_warn("cannot watch a descriptor: %s", g_strerror(errno));
+		log_warn(
+		    "cannot watch a file descriptor: %s", g_strerror(errno));
 		return false;
 	}
 	io->events = events;
@@ -141,9 +142,9 @@
 	while (!l->stopping) {
 		l->before = l->waiting;
 		/*
-		 * Guards against answers thrown away after a pause: a process
-		 * that is stopped and goes on is interrupted here, and timers
-		 * would end what has long been answered.
+		 * Retry after a signal, without firing timers: a process that
+		 * is stopped and continued is interrupted here, and timeouts
+		 * would discard responses that are waiting to be read.
 		 */
 		do {
 			n = epoll_wait(
--- a/loop.h
+++ b/loop.h
@@ -1,6 +1,6 @@
 /*
- * One thread's event loop: descriptors through epoll, timers in a tree. All
- * structs are in the embedder's memory; nothing here blocks but loop_run().
+ * An event loop for one thread: descriptors through epoll, timers in a tree.
+ * All structs are allocated by the caller; only loop_run() blocks.
  */
 
 #ifndef LOOP_H
@@ -12,15 +12,15 @@
 
 struct loop;
 
-/* A descriptor that is watched; first member of what owns it. */
+/* A watched descriptor; embedded as the first member of its owner. */
 struct loop_io {
-	/* EPOLL* bits that came true. */
+	/* Called with the EPOLL* bits that are ready. */
 	void (*ready)(struct loop_io *, uint32_t);
-	int fd; /* -1: not watched */
-	uint32_t events;
+	int fd;		 /* -1: not open */
+	uint32_t events; /* EPOLL* bits watched; 0: not watched */
 };
 
-/* Something to be done once, at a point in time. */
+/* A one-shot timer. */
 struct loop_timer {
 	RB_ENTRY(loop_timer) entry;
 	void (*fire)(struct loop_timer *, msec);
@@ -34,32 +34,33 @@
 	int epoll_fd;
 	struct loop_timers timers;
 	bool stopping;
-	/* Called at the end of each turn; may be NULL. */
+	/* Called at the end of each iteration; may be NULL. */
 	void (*turn)(struct loop *, msec);
 	void *arg;
-	msec now; /* when this turn began */
+	msec now; /* when this iteration's wait returned */
 	/*
-	 * When the wait of the turn before was begun: what this turn has in
-	 * hand was not there yet. Not when that turn began: a VM may stand
-	 * still between the end of a wait and the look at the clock.
+	 * When the previous iteration's wait started: the events of this
+	 * iteration had not occurred yet. The end of that wait would not do,
+	 * since a VM may be paused between the end of a wait and the reading of
+	 * the clock.
 	 */
 	msec before;
-	msec waiting; /* when this turn's wait was begun */
+	msec waiting; /* when this iteration's wait started */
 };
 
 bool loop_init(struct loop *);
 void loop_finish(struct loop *);
-/* Until loop->stopping. */
+/* Run until loop->stopping is set. */
 void loop_run(struct loop *);
 
-/* Watch a descriptor for EPOLL* bits; again to change them. */
+/* Watch a descriptor for EPOLL* bits, or change the bits. False on failure. */
 bool loop_watch(struct loop *, struct loop_io *, uint32_t);
-/* Stop watching and close it. Events already taken are not handed over. */
+/* Close a descriptor. Its events that are already fetched are discarded. */
 void loop_close(struct loop *, struct loop_io *);
 
 void loop_timer_init(
     struct loop_timer *, void (*)(struct loop_timer *, msec), void *);
-/* Set or move it; MSEC_NEVER takes it back. */
+/* Set or move a timer; MSEC_NEVER stops it. */
 void loop_timer_set(struct loop *, struct loop_timer *, msec);
 void loop_timer_stop(struct loop *, struct loop_timer *);
 
--- a/mac.c
+++ b/mac.c
@@ -1,5 +1,5 @@
 /*
- * Message authentication; see mac.h.
+ * Message authentication codes; see mac.h.
  */
 
 #define LOG_PART "mac"
--- a/mac.h
+++ b/mac.h
@@ -1,5 +1,5 @@
 /*
- * Message authentication with the key that all nodes share: HMAC-SHA256,
+ * Message authentication codes with the key shared by all nodes: HMAC-SHA256
  * truncated to 128 bits.
  */
 
@@ -10,16 +10,16 @@
 
 #define MAC_SIZE 16
 
-/* One run of the bytes that are authenticated. */
+/* A contiguous part of the authenticated bytes. */
 struct mac_part {
 	const void *data;
 	size_t len;
 };
 
-/* Over the parts, in order. */
+/* Compute the code over the parts, in order. */
 void mac_sum(
     const char *key, const struct mac_part *, unsigned int, uint8_t[MAC_SIZE]);
-/* In constant time, so that timing does not help to guess it byte by byte. */
+/* Compare in constant time, so that a code can't be guessed byte by byte. */
 bool mac_equal(const uint8_t *, const uint8_t *);
 
 #endif /* MAC_H */
--- a/net-codec.c
+++ b/net-codec.c
@@ -1,20 +1,19 @@
 /*
- * The wire format between nodes: one ONC RPC call header, one sp_batch, and a
- * truncated HMAC-SHA256 in the header's verifier. No input or output.
+ * The wire format between nodes: an ONC RPC call header, an sp_batch, and a
+ * truncated HMAC-SHA256 in the header's verifier. Does no I/O.
  *
- * The header of our calls has a fixed length, as the credential is empty and
- * the verifier always as long as the HMAC. So the HMAC is checked over the
- * raw bytes first, and the XDR decoders only ever see what a holder of the
- * key has written.
+ * The call header has a fixed length, as the credential is empty and the
+ * verifier always has the length of the HMAC. So the HMAC is checked over the
+ * raw bytes first, and the XDR decoders process only data from a holder of the
+ * key.
  *
  * Replay: the HMAC covers the sender's id and incarnation, so a recorded
- * datagram cannot pass for another sender's, nor for that of a later start of
- * the same node. Within one incarnation it can be sent again, also to another
- * node. Messages are therefore written so that a second copy changes nothing:
- * news is ordered by incarnation and refutation, an acknowledgement must match
- * an open probe, dispatch messages name ids that are used once, and no address
- * is learned from where a datagram came from. A replay can cost a reply, no
- * more.
+ * datagram cannot be passed off as another sender's, nor as one from a later
+ * start of the same node. Within one incarnation it can be sent again, also to
+ * another node. Messages are therefore idempotent: news is ordered by
+ * incarnation and refutation, an acknowledgement must match an open probe,
+ * dispatch messages have ids that are used once, and no address is learned from
+ * a datagram's source. A replay can at most cause a reply.
  */
 
 #define LOG_PART "net"
@@ -23,10 +22,10 @@
 
 #include <string.h>
 
-/* xid, direction, versions, procedure, credential, flavour, length. */
+/* Behind xid, direction, versions, procedure, credential, flavour, length. */
 #define NET_MAC_AT 40
 #define NET_BODY_AT (NET_MAC_AT + MAC_SIZE)
-/* Sender, incarnation; then the number of messages. */
+/* Behind the sender's id and incarnation. */
 #define NET_COUNT_AT (NET_BODY_AT + 16)
 /* A private authentication flavour; registered ones are small numbers. */
 #define NET_FLAVOUR 0x53415648
@@ -93,7 +92,7 @@
 	xdrmem_create(&xdrs, f->data, sizeof f->data, XDR_ENCODE);
 	if (!net_header_encode(&xdrs) || !xdr_u_quad_t(&xdrs, &id) ||
 	    !xdr_u_quad_t(&xdrs, &inc) || !xdr_u_int(&xdrs, &none))
-		g_error("the header does not fit a datagram");
+		g_error("the call header is too large for a datagram");
 	f->used = xdr_getpos(&xdrs);
 	f->count = 0;
 	xdr_destroy(&xdrs);
@@ -109,7 +108,7 @@
 		return false;
 	xdrmem_create(&xdrs, f->data + f->used,
 	    (u_int)(sizeof f->data - f->used), XDR_ENCODE);
-	/* An encoder only reads; its signature serves both directions. */
+	/* XDR_ENCODE only reads the message, so the cast is safe. */
 	ok = xdr_sp_msg(&xdrs, (sp_msg *)msg);
 	if (ok) {
 		f->used += xdr_getpos(&xdrs);
@@ -163,7 +162,7 @@
 	net_mac(key, buf, len, mac);
 	if (!mac_equal(mac, (const uint8_t *)buf + NET_MAC_AT))
 		return false;
-	/* The decoder of a memory stream does not write to it. */
+	/* XDR_DECODE does not write to the buffer, so the cast is safe. */
 	xdrmem_create(&xdrs, (char *)buf, (u_int)len, XDR_DECODE);
 	ok = net_header_decode(&xdrs) && xdr_sp_batch(&xdrs, batch) &&
 	     xdr_getpos(&xdrs) == len;
--- a/net.c
+++ b/net.c
@@ -1,7 +1,7 @@
 /*
- * The UDP socket between nodes. Messages to one destination wait in one frame
- * until the loop's turn ends, so that a busy turn costs one datagram and one
- * HMAC for each destination, not for each message.
+ * The UDP socket for messages between nodes. Messages to one destination are
+ * collected in a frame until the end of the loop's iteration, so that a busy
+ * iteration costs a datagram and an HMAC per destination, not per message.
  */
 
 #define LOG_PART "net"
@@ -15,12 +15,12 @@
 #include <string.h>
 #include <unistd.h>
 
-/* Datagrams read in one call. */
+/* Datagrams read in one call, at most. */
 #define NET_READ_MAX 512
-/* Room for bursts while the loop is busy; the kernel may grant less. */
+/* Bytes for bursts while the loop is busy; the kernel may grant less. */
 #define NET_SOCKET_BUFFER (1024 * 1024)
 
-/* One destination with messages to be sent, or a spare one. */
+/* A destination with messages to send, or an unused entry of `spares`. */
 struct net_peer {
 	RB_ENTRY(net_peer) entry;
 	LIST_ENTRY(net_peer) spare;
@@ -84,11 +84,12 @@
 
 	n->fd = socket(AF_INET, SOCK_DGRAM | SOCK_NONBLOCK | SOCK_CLOEXEC, 0);
 	if (n->fd == -1) {
-		log_warn("no UDP socket: %s", g_strerror(errno));
+		log_warn("cannot create a UDP socket: %s", g_strerror(errno));
 		return false;
 	}
 	if (setsockopt(n->fd, SOL_SOCKET, SO_RCVBUF, &size, sizeof size) == -1)
-		log_debug("receive buffer stays small: %s", g_strerror(errno));
+		log_debug(
+		    "cannot enlarge the receive buffer: %s", g_strerror(errno));
 	sin.sin_addr.s_addr = htonl(address);
 	sin.sin_port = htons(port);
 	if (bind(n->fd, (struct sockaddr *)&sin, sizeof sin) == -1) {
@@ -172,7 +173,7 @@
 	sin.sin_port = htons(p->port);
 	if (sendto(n->fd, p->frame.data, len, 0, (struct sockaddr *)&sin,
 		sizeof sin) == -1) {
-		/* Every message is repeated or timed out by its own part. */
+		/* The module that sent a message repeats it or times out. */
 		log_debug("datagram dropped: %s", g_strerror(errno));
 		n->counters.dropped++;
 		return;
@@ -194,7 +195,8 @@
 		if (net_frame_add(&p->frame, msg))
 			return;
 	}
-	log_warn("message of kind %d fits no datagram", (int)msg->kind);
+	log_warn(
+	    "message of kind %d is too large for a datagram", (int)msg->kind);
 	n->counters.oversize++;
 }
 
@@ -234,7 +236,7 @@
 void
 net_read(struct net *n)
 {
-	/* One byte more than allowed, so that a longer one is seen as such. */
+	/* One byte more than allowed, to detect a datagram that is too long. */
 	char buf[NET_DATAGRAM_MAX + 1];
 	struct sockaddr_in sin = { 0 };
 	socklen_t slen;
--- a/sse.c
+++ b/sse.c
@@ -1,5 +1,5 @@
 /*
- * Server-sent events of an engine; see sse.h.
+ * Parser of an engine's server-sent events; see sse.h.
  */
 
 #define LOG_PART "sse"
@@ -27,7 +27,7 @@
 	s->rest = NULL;
 }
 
-/* Just behind the empty line that ends the event at p, or NULL. */
+/* The byte after the empty line that ends the event at p, or NULL. */
 static const char *
 sse_event_end(const char *p, const char *end)
 {
@@ -43,7 +43,7 @@
 	return NULL;
 }
 
-/* What a whole event means: a token, the end, or a comment. */
+/* Classify a complete event: a token, the end of the stream, or a comment. */
 static void
 sse_count(struct sse *s, const char *p, size_t n, unsigned int *tokens)
 {
@@ -87,7 +87,7 @@
 	return true;
 }
 
-/* Pass on all whole events at p; the bytes used. */
+/* Report all complete events at p; returns the bytes consumed. */
 static size_t
 sse_pass(struct sse *s, const char *p, size_t n,
     void (*event)(void *, const char *, size_t, unsigned int), void *arg)
--- a/sse.h
+++ b/sse.h
@@ -1,7 +1,7 @@
 /*
- * Splits an engine's stream of server-sent events into whole events, so that
- * a stream that breaks off is cut between two tokens and can be continued at
- * the exact next one.
+ * Splits an engine's stream of server-sent events into complete events, so that
+ * an interrupted stream ends between two tokens and can be resumed at the next
+ * token.
  */
 
 #ifndef SSE_H
@@ -9,25 +9,26 @@
 
 #include "savory.h"
 
-/* A longer event is an error of the engine. */
+/* Bytes of an event, at most; a longer one makes the stream malformed. */
 #define SSE_EVENT_MAX (64 * 1024)
 
-/* What is held of one stream. */
+/* The state of one stream; allocated by the caller. */
 struct sse {
-	char *rest; /* start of an event that is not whole yet */
+	char *rest; /* start of an incomplete event */
 	size_t rest_len;
 	size_t rest_size;
-	unsigned int tokens; /* whole events with data, without [DONE] */
-	bool done;	     /* [DONE] has come */
-	bool bad;	     /* malformed: give the attempt up */
+	unsigned int tokens; /* complete events with data, except [DONE] */
+	bool done;	     /* [DONE] has been received */
+	bool bad;	     /* malformed: the attempt has failed */
 };
 
-/* A stream at its start; its end. */
+/* Initialise the state of a new stream; free its memory. */
 void sse_init(struct sse *);
 void sse_finish(struct sse *);
 /*
- * Take in bytes. Calls `event` with each run of whole events (their bytes, as
- * they came) and how many tokens it has. False once the stream is malformed.
+ * Process received bytes. Calls `event` with each run of complete events: the
+ * unchanged bytes and the number of tokens in them. False once the stream is
+ * malformed.
  */
 bool sse_feed(struct sse *, const char *, size_t,
     void (*event)(void *, const char *, size_t, unsigned int), void *);
