--- a/proto.x
+++ b/proto.x
@@ -1,8 +1,9 @@
 /*
- * What nodes say to each other: one ONC RPC call a datagram, without a reply
- * (batched, one-way), procedure SAVORY_BATCH. The call's verifier carries a
- * truncated HMAC-SHA256 over the header fields and the arguments.
- * Names are sent once, in membership news; elsewhere their 64-bit hash.
+ * The protocol between nodes. A datagram is one ONC RPC call without a reply
+ * (batched, one-way) of the procedure SAVORY_BATCH. The call's verifier carries
+ * a truncated HMAC-SHA256 over the header fields and the arguments.
+ * Names are sent in membership news only; other messages have their 64-bit
+ * hashes.
  */
 
 const SAVORY_NAME_MAX = 63;
@@ -23,10 +24,10 @@
 };
 
 /*
- * One piece of news about one node. Addresses are IPv4, host byte order.
- * `incarnation` counts starts of the process, `refutation` its denials of
+ * A membership update about one node. Addresses are IPv4, host byte order.
+ * `incarnation` counts starts of the process, `refutation` how often it refuted
  * being suspect or dead. `leaving` holds for the whole incarnation, whatever
- * the state, so that a suspicion refuted later does not take it back.
+ * the state, so that a refuted suspicion does not revoke it.
  */
 struct sp_news {
 	sp_name name;
@@ -41,14 +42,14 @@
 	unsigned int control_port;	/* HTTP, tool and peers */
 };
 
-/* What a node says of itself in each probe and each answer. */
+/* The sender's own state, in each probe and each acknowledgement. */
 struct sp_self {
 	unsigned hyper document_version;	/* sum over services; see member.h */
 	unsigned int load_permille;		/* open requests against the limit */
 	bool leaving;
 };
 
-/* What the sender has heard of another node, and how long ago it was said. */
+/* The state of another node as last received, and how long ago it was sent. */
 struct sp_load {
 	unsigned hyper node;
 	unsigned hyper document_version;
@@ -58,26 +59,27 @@
 
 struct sp_probe {
 	unsigned int seq;
-	unsigned hyper on_behalf_of;	/* 0, or the node that asked for it */
+	unsigned hyper on_behalf_of;	/* 0, or the node that sent SP_PROBE_REQUEST */
 	sp_self self;
-	unsigned hyper newest_version;	/* newest the sender has heard of */
+	unsigned hyper newest_version;	/* newest that the sender has received */
 	sp_load loads<SAVORY_LOADS_MAX>;
 	sp_news news<SAVORY_NEWS_MAX>;
 };
 
+/* Requests an indirect probe of `target`. */
 struct sp_probe_request {
 	unsigned int seq;
 	unsigned hyper target;
 	sp_news news<SAVORY_NEWS_MAX>;
 };
 
-/* Asks for the members whose id is above `after`, in order of their ids. */
+/* Requests the members whose id is above `after`, in order of their ids. */
 struct sp_sync {
 	unsigned hyper after;
 	unsigned int limit;
 };
 
-/* The answer; `last` is the id to go on from, 0 at the end. */
+/* The response; `last` is the id to continue after, 0 at the end. */
 struct sp_sync_page {
 	unsigned hyper after;
 	unsigned hyper last;
@@ -91,9 +93,9 @@
 const SAVORY_RESERVE_RESUMED = 2;
 
 /*
- * An entry node asks an engine's owner for a slot. Re-sent while it waits.
- * Tier and protection are the entry node's, so that an owner that has not
- * read the newest document yet cannot mistake a protected request.
+ * An entry node requests a slot from an engine's owner; repeated while the
+ * request waits. The entry node sets tier and protection, so that an owner
+ * with an older document does not treat a protected request as unprotected.
  */
 struct sp_reserve {
 	unsigned hyper engine;
@@ -105,19 +107,19 @@
 	unsigned hyper prefix;
 	unsigned int prompt_tokens;
 	unsigned int expect_tokens;
-	unsigned int waited_ms;		/* since the caller's request came */
-	unsigned int start_ms;		/* useful if granted within; 0 is none */
+	unsigned int waited_ms;		/* since the caller's request arrived */
+	unsigned int start_ms;		/* useful only if granted within; 0: no limit */
 };
 
-/* The owner's answer: the slot is the entry node's until it says done. */
+/* The owner grants a slot; the entry node holds it until it sends sp_done. */
 struct sp_grant {
 	unsigned hyper engine;
 	unsigned int id;
-	unsigned int slots;		/* what the owner has learned */
-	unsigned int token_us;		/* time between tokens; 0 is unknown */
+	unsigned int slots;		/* the engine's, as estimated by the owner */
+	unsigned int token_us;		/* time between tokens; 0: unknown */
 };
 
-/* The owner's answer to a reservation that waits in its queue. */
+/* The owner's response while a reservation waits in its queue. */
 struct sp_queued {
 	unsigned hyper engine;
 	unsigned int id;
@@ -139,13 +141,13 @@
 	unsigned int retry_after_ms;
 };
 
-/* Reservation no longer wanted, or a grant that is not used. */
+/* Withdraws a reservation, or returns a grant that is not used. */
 struct sp_cancel {
 	unsigned hyper engine;
 	unsigned int id;
 };
 
-/* What the entry node saw of a request that has ended on the engine. */
+/* The entry node's measurements of a request that ended on the engine. */
 struct sp_done {
 	unsigned hyper engine;
 	unsigned int id;
@@ -161,14 +163,14 @@
 					   first token's ms plus 1; 0: none */
 };
 
-/* All that this entry node has running on the engine: renews the slots. */
+/* All requests of the entry node that run on the engine; renews their slots. */
 struct sp_running {
 	unsigned hyper engine;
 	unsigned int slots;		/* from the last grant, for a new owner */
 	sp_running_one list<SAVORY_RUNNING_MAX>;
 };
 
-/* The owner asks the entry node to stop a resumable lower-tier stream. */
+/* The owner requests that the entry node stop a resumable lower-tier stream. */
 struct sp_preempt {
 	unsigned hyper engine;
 	unsigned int id;
@@ -177,77 +179,78 @@
 /* ---- limits of organisations ---- */
 
 /*
- * An ask (give 0, credit 0) or its answer with the same seq (ask 0). Amounts
- * are thousandths of the limit's unit; see share.h.
+ * A request for a loan (give 0, credit 0) or the response with the same seq
+ * (ask 0). Amounts are thousandths of the limit's unit; see share.h.
  */
 struct sp_share {
 	unsigned hyper service;
 	unsigned hyper organisation;
 	unsigned int kind;		/* 0 requests, 1 tokens, 2 in flight */
 	unsigned int seq;
-	unsigned int ask;		/* in all, wanted from this node */
-	unsigned int give;		/* in all, lent by this node */
-	unsigned int credit;		/* saved-up rate that goes with it */
+	unsigned int ask;		/* total wanted from the receiver */
+	unsigned int give;		/* total lent by the sender */
+	unsigned int credit;		/* unused rate that is lent with it */
 };
 
 /* ---- placement by a coordinator ---- */
 
 const SAVORY_AVOID_MAX = 8;
 
-/* What a request needs of a server; see server_wish in server.h. */
+/* A request's requirements of a server; see server_wish in server.h. */
 struct sp_place_wish {
 	unsigned hyper service;
 	unsigned hyper route;
 	unsigned hyper prompt;
 	unsigned int shared;		/* tokens */
-	unsigned int own;
-	unsigned int gap_ms;
+	unsigned int own;		/* tokens beside the shared part */
+	unsigned int gap_ms;		/* longest pause allowed; 0: any */
 	unsigned int target_ms;		/* to the first event; 0: any */
-	unsigned int rank;
+	unsigned int rank;		/* 0 is the most urgent */
 	unsigned hyper avoid<SAVORY_AVOID_MAX>;
 };
 
-/* Which server should run it? */
+/* Requests a placement from the coordinator. */
 struct sp_place_ask {
 	unsigned int id;		/* entry node's number */
 	sp_place_wish wish;
 };
 
-/* A server names the rate of requests that it takes; see server-rate.h. */
+/* The request rate that a server accepts; see server-rate.h. */
 struct sp_place_rate {
 	unsigned hyper server;
-	unsigned hyper born;		/* its process */
-	double per_s;			/* 0: it names none any more */
-	unsigned int age_ms;		/* of the answer that says so */
+	unsigned hyper born;		/* identifies its process */
+	double per_s;			/* 0: no longer limited */
+	unsigned int age_ms;		/* of the server's response with this rate */
 };
 
 const SAVORY_RATED_MAX = 4;
 
-/* The coordinator's answer; from then on it counts the request there. */
+/* The coordinator's placement; it counts the request at that server from now. */
 struct sp_place_tell {
 	unsigned int id;
 	unsigned hyper server;		/* 0: none */
-	unsigned int wait_ms;		/* until it has read what it was given */
-	unsigned int ahead_ms;		/* of that, as urgent or more */
-	unsigned int limit_ms;		/* more than so much: turn it away */
+	unsigned int wait_ms;		/* to read all prompts queued there, with this one */
+	unsigned int ahead_ms;		/* the part before this one, as urgent or more */
+	unsigned int limit_ms;		/* reject if ahead_ms is more; 0: no limit */
 	bool rated;			/* counted against the server's rate */
-	sp_place_rate rates<SAVORY_RATED_MAX>;	/* of its group; some of them */
+	sp_place_rate rates<SAVORY_RATED_MAX>;	/* of some servers of its group */
 };
 
-/* The entry node chose by itself, as no answer came. */
+/* The entry node chose a server itself, as no response arrived. */
 struct sp_place_took {
 	unsigned int id;
 	unsigned hyper server;
 	sp_place_wish wish;
 };
 
+/* A change of a placed request's state. */
 enum sp_place_what {
 	SP_PLACE_READ = 0,		/* its prompt has been read */
-	SP_PLACE_ENDED = 1,		/* it is not there any more */
-	SP_PLACE_WELL = 2,		/* the same, and it was answered */
+	SP_PLACE_ENDED = 1,		/* it has left the server */
+	SP_PLACE_WELL = 2,		/* the same, with a response */
 	SP_PLACE_FAILED = 3,		/* the same, and the server failed */
-	SP_PLACE_DOWN = 4,		/* the same, and it cannot be reached */
-	SP_PLACE_LATE = 5		/* it goes on, but is late */
+	SP_PLACE_DOWN = 4,		/* the same, and it is unreachable */
+	SP_PLACE_LATE = 5		/* it still runs, but is late */
 };
 
 struct sp_place_step {
@@ -256,71 +259,69 @@
 	sp_place_what what;
 };
 
-/* ---- the batch ---- */
+/* ---- relayed proofs that configuration and servers are current ---- */
 
-/* ---- proofs passed on ---- */
-
-/* What a node knows of one subject, and how long ago it was the newest. */
+/* A node's version of a subject, and how long ago it was proven the newest. */
 struct sp_relay_known {
-	unsigned hyper mark;		/* names what is in force there */
-	unsigned int age_ms;		/* the largest number: never known */
+	unsigned hyper mark;		/* identifies the version in force there */
+	unsigned int age_ms;		/* the largest number: never proven */
 };
 
-/* What do you know? */
+/* Requests sp_relay_tell. */
 struct sp_relay_ask {
 	unsigned int seq;
 };
 
-/* The answer, or with seq 0 news for those who asked lately. */
+/* The response, or with seq 0 an update to nodes that asked recently. */
 struct sp_relay_tell {
 	unsigned int seq;
 	sp_relay_known known[2];	/* configuration, servers */
 };
 
-/* ---- duties of one node ---- */
+/* ---- duties that one node holds at a time ---- */
 
 const SAVORY_STANDBYS_MAX = 4;
 const SAVORY_COUNTS_MAX = 80;
 
-/* The holder is there; see duty.h. */
+/* The heartbeat of a duty's holder; see duty.h. */
 struct sp_duty_beat {
 	unsigned hyper token;
-	unsigned hyper end;		/* of the log after its newest record */
-	unsigned hyper hand_over;	/* 0, or the node that is to take over */
+	unsigned hyper end;		/* log offset after its newest record */
+	unsigned hyper hand_over;	/* 0, or the node that shall take over */
 	unsigned hyper standbys<SAVORY_STANDBYS_MAX>;
 };
 
 struct sp_usage_count {
 	unsigned hyper organisation;
-	unsigned int count;		/* in all, since the window began */
+	unsigned int count;		/* total since the window began */
 };
 
-/* Requests that began in a window at one node; see usage.h. */
+/* Requests that started in a window at one node; see usage.h. */
 struct sp_usage_counts {
-	unsigned hyper node;		/* 0: the sender's own; else passed on */
+	unsigned hyper node;		/* 0: the sender; else relayed for that node */
 	unsigned hyper incarnation;
 	unsigned hyper window;
-	unsigned hyper wall_ms;		/* the sender's clock as it sends this */
-	bool last;			/* the window has ended there */
-	unsigned int total;		/* of all its organisations */
+	unsigned hyper wall_ms;		/* the sender's wall clock on sending */
+	bool last;			/* final: the window has ended there */
+	unsigned int total;		/* over all its organisations */
 	sp_usage_count list<SAVORY_COUNTS_MAX>;
 };
 
-/* What a keeper of counts takes the time to be. */
+/* True time as estimated by a node that keeps counts of others. */
 struct sp_usage_time {
 	unsigned hyper wall_ms;
 };
 
-/* What a coordinator of placement has seen of a service; see capacity.h. */
+/* A service's demand as counted by a placement coordinator; see capacity.h. */
 struct sp_demand {
 	unsigned hyper service;
-	unsigned int requests;		/* these grow */
-	unsigned hyper tokens;		/* to be read */
-	unsigned hyper urgent_tokens;	/* of the most urgent kinds */
-	unsigned int running;
+	unsigned int requests;		/* counter */
+	unsigned hyper tokens;		/* counter: prompt tokens to read */
+	unsigned hyper urgent_tokens;	/* counter: of the most urgent ranks */
+	unsigned int running;		/* requests at present */
 };
 
-/* ---- changes of servers passed on ---- */
+/* ---- relayed changes of servers ---- */
 
 const SAVORY_SERVERS_MAX = 4;
 const SAVORY_SERVER_NAME_MAX = 127;
@@ -338,76 +339,77 @@
 	unsigned int address;
 	unsigned int port;
 	unsigned int slots;
-	unsigned hyper born;
+	unsigned hyper born;		/* identifies its process */
 	sp_server_state state;
 	bool reclaimable;
 };
 
-/* What a reader of the platform has found, beside what was known before. */
+/* Changes of servers that a node has read from the platform. */
 struct sp_relay_servers {
-	unsigned hyper before;		/* mark of all servers without this */
-	unsigned hyper after;		/* and with it */
-	unsigned hyper position;	/* the reader's, after this; 0: not the last */
+	unsigned hyper before;		/* mark of all servers before the change */
+	unsigned hyper after;		/* mark of all servers after it */
+	unsigned hyper position;	/* the reader's, after this; 0: more follow */
 	sp_server list<SAVORY_SERVERS_MAX>;
 };
 
-/* ---- a node that starts ---- */
+/* ---- start of a node ---- */
 
-/* What is known of the store? Answered to where it came from. */
+/* Requests sp_start_tell, which is sent to the datagram's source address. */
 struct sp_start_ask {
 	unsigned int seq;
 };
 
 struct sp_start_tell {
 	unsigned int seq;
-	unsigned hyper era;		/* 0: none is known */
-	unsigned int era_age_ms;	/* the largest number: not known */
-	unsigned hyper newest_version;	/* of the configuration, heard of; 0 */
+	unsigned hyper era;		/* of the store, see era.h; 0: unknown */
+	unsigned int era_age_ms;	/* the largest number: unknown */
+	unsigned hyper newest_version;	/* of the configuration; 0: unknown */
 };
 
 /* ---- a configuration from another node ---- */
 
 const SAVORY_TABLE_PART_MAX = 1024;
 
-/* The configuration that follows ours: its text, but the parts we have. */
+/* Requests the text of a newer configuration, except the parts received. */
 struct sp_table_ask {
-	unsigned hyper have;		/* version in force here */
-	unsigned hyper want;		/* 0, or the version of the text so far */
-	unsigned hyper parts;		/* a bit for each, the first is the least */
+	unsigned hyper have;		/* version in force at the sender */
+	unsigned hyper want;		/* 0, or the version of the parts received */
+	unsigned hyper parts;		/* bit mask of parts received, bit 0 for part 0 */
 };
 
-/* A part of the text, as the platform has it. They may overtake each other. */
+/* A part of the platform's text; parts may arrive in any order. */
 struct sp_table_part {
-	unsigned hyper table;		/* its version */
+	unsigned hyper table;		/* version of the configuration */
 	unsigned int total;		/* bytes of the text */
 	unsigned int part;		/* 0 is the first */
 	opaque bytes<SAVORY_TABLE_PART_MAX>;
 };
 
-/* ---- requests that end their servers ---- */
+/* ---- requests that crash their servers ---- */
 
 const SAVORY_LIVES_MAX = 8;
 const SAVORY_POISONS_MAX = 4;
 
-/* The process of a server that ended. */
+/* A server process that ended while the request ran on it. */
 struct sp_poison_life {
 	unsigned hyper life;
 	unsigned int age_ms;
 };
 
-/* What is known of a request; see poison.h. */
+/* The evidence about a request; see poison.h. */
 struct sp_poison_record {
-	unsigned hyper high;
+	unsigned hyper high;		/* with low: the request's id */
 	unsigned hyper low;
 	sp_poison_life lives<SAVORY_LIVES_MAX>;
-	unsigned int served_age_ms;	/* the largest number: never */
+	unsigned int served_age_ms;	/* last full response; the largest number: never */
 };
 
+/* Distributes records to other nodes. */
 struct sp_poison_tell {
 	sp_poison_record list<SAVORY_POISONS_MAX>;
 };
 
-/* May it be sent now? Asked of its owner, with what the asker knows. */
+/* Requests permission from the request's owner, with the sender's evidence. */
 struct sp_poison_ask {
 	unsigned int seq;
 	sp_poison_record record;
@@ -425,7 +427,7 @@
 	sp_poison_record record;
 };
 
-/* What was given leave is over. */
+/* A request that had permission has ended. */
 struct sp_poison_done {
 	unsigned int seq;
 	unsigned hyper high;
--- a/wire.h
+++ b/wire.h
@@ -1,9 +1,9 @@
 /*
- * The edges at which savorypier meets what speaks another way than it does:
- * how a caller's request and a backend server's answer say what the router
- * must know, and where configuration, backend servers and other nodes come
- * from. An implementation translates names, formats and calls; it decides
- * nothing.
+ * The interfaces between the router and a platform: struct wire_ops for the
+ * HTTP conventions of callers and backend servers, struct source_ops for the
+ * configuration, the list of backend servers and the discovery of other nodes.
+ * An implementation translates names, formats and calls; it takes no routing
+ * decisions.
  */
 
 #ifndef WIRE_H
@@ -23,64 +23,64 @@
 #define WIRE_PARTS_MAX 32
 #define WIRE_KEY_SIZE 256
 
-/* One part of a prompt that others may share, in the order of the prompt. */
+/* A part of a prompt that other prompts may share, in the prompt's order. */
 struct wire_part {
 	uint64_t id;
 	unsigned int tokens;
 };
 
-/* What a caller's head asks for. The text lies in the head's memory. */
+/* A caller's request, decoded from its head; strings point into the head. */
 struct wire_request {
-	const char *id; /* the caller's name for it; "": none */
+	const char *id; /* the caller's request id; "": none */
 	const char *host;
-	const char *path;	 /* with its query */
-	char key[WIRE_KEY_SIZE]; /* what it proves itself by; "": nothing */
-	msec deadline;		 /* how long the caller waits; 0: not said */
-	uint64_t after;		 /* goes on after this event of a stream */
-	unsigned int prompt_tokens, max_tokens; /* 0: not said */
+	const char *path;	 /* including the query */
+	char key[WIRE_KEY_SIZE]; /* the caller's API key; "": none */
+	msec deadline;		 /* ms that the caller waits; 0: not given */
+	uint64_t after; /* resume a stream after this event; 0: start */
+	unsigned int prompt_tokens, max_tokens; /* 0: not given */
 	unsigned int nparts;
 	struct wire_part parts[WIRE_PARTS_MAX];
 };
 
-/* What we say to a backend server beside what the caller said. */
+/* What this node adds to a caller's request for the backend server. */
 struct wire_terms {
-	msec deadline;		  /* how long we wait from now */
+	msec deadline;		  /* ms that this node waits; 0: no limit */
 	const char *organisation; /* NULL: none */
-	const char *server;	  /* nobody else may run it */
-	bool ranked;
-	unsigned int priority; /* 0 is first */
-	bool resumed;
-	uint64_t after; /* go on after this event */
+	const char *server;	  /* the only one that may execute it */
+	bool ranked;		  /* `priority` applies */
+	unsigned int priority;	  /* 0 is first */
+	bool resumed;		  /* this node resumes an interrupted stream */
+	uint64_t after;		  /* if resumed: after this event */
 };
 
-/* Does an answer say how many requests its server takes? */
+/* Whether a response states the request rate that its server accepts. */
 enum wire_rate {
 	WIRE_RATE_NONE,
 	WIRE_RATE_NAMED,
 	WIRE_RATE_UNREADABLE
 };
 
-/* What the head of a backend server's answer says of it. */
+/* What the head of a backend server's response states. */
 struct wire_answer {
-	bool ours;	   /* answers the request with that id */
-	bool other;	   /* answers a request with another id */
+	bool ours;	   /* has the id of the request */
+	bool other;	   /* has the id of another request */
 	bool genuine;	   /* signed by a backend server */
-	bool not_executed; /* did not run, and will not */
-	bool encoded;	   /* not the bytes that the caller asked for */
-	msec keeps_idle;   /* the connection may idle so long; 0: not said */
+	bool not_executed; /* the request was not and will not be executed */
+	bool encoded;	   /* has a Content-Encoding */
+	msec keeps_idle;   /* ms the connection may idle; 0: not given */
 	enum wire_rate rate;
-	double per_s; /* requests a second, where a rate is named; else 0 */
+	double per_s; /* requests per second with WIRE_RATE_NAMED, else 0 */
 };
 
-/* Who gets a field of a caller's head. */
+/* What happens to a header field of a caller's request. */
 enum wire_field {
-	WIRE_FIELD_PASS,  /* the backend server */
-	WIRE_FIELD_KEEP,  /* nobody: it is ours to set */
-	WIRE_FIELD_KEY,	  /* nobody, where keys are in use */
-	WIRE_FIELD_RESUME /* the backend server, unless we go on ourselves */
+	WIRE_FIELD_PASS,  /* forwarded to the backend server */
+	WIRE_FIELD_KEEP,  /* removed: only this node sets it */
+	WIRE_FIELD_KEY,	  /* removed if the configuration has API keys */
+	WIRE_FIELD_RESUME /* removed if this node resumes the stream */
 };
 
-/* What the small listeners are asked for. */
+/* The request types of the readiness and directory listeners. */
 enum wire_query {
 	WIRE_QUERY_UNKNOWN,
 	WIRE_QUERY_READY,
@@ -88,75 +88,89 @@
 };
 
 struct wire_ops {
-	/* False with a reason when the head cannot be understood. */
+	/* Decode a caller's head. False and a reason if it is invalid. */
 	bool (*request)(
 	    const struct http_head *, struct wire_request *, const char **);
+	/* How to treat the header field with this name. */
 	enum wire_field (*field)(const char *);
-	/* Header fields of an attempt, each with its line end. */
+	/* Append header fields to a request for a server, each with CRLF. */
 	void (*terms)(struct buffer *, const struct wire_terms *);
+	/* Decode a backend server's head as a response to the request `id`. */
 	void (*answer)(
 	    const struct http_head *, const char *id, struct wire_answer *);
-	/* Header fields of an answer of our own: the caller's id. */
+	/* Append the caller's request id to a response made by this node. */
 	void (*own)(struct buffer *, const char *id);
-	/* What a query asks; for the directory the caller's failure domain. */
+	/*
+	 * The type of a request to a listener; for the directory also copies
+	 * the caller's failure domain into the buffer.
+	 */
 	enum wire_query (*query)(const struct http_head *, char *, size_t);
-	/* The directory's answer: members to use, and for how long. */
+	/* Encode the directory: nodes to use, and for how many ms. */
 	void (*directory)(
 	    struct buffer *, const struct member *const *, unsigned int, msec);
-	const char *content_type; /* of the directory's answer */
+	const char *content_type; /* of the directory's response */
 };
 
 struct entry;
 struct source;
 
-/* So many servers of a kind, of a service in a failure domain. */
+/* The wanted number of servers of a kind for a service in a failure domain. */
 struct server_order {
 	char service[NAME_SIZE];
 	char domain[NAME_SIZE];
-	unsigned int domain_index; /* the core's */
+	unsigned int domain_index; /* used by the core, see capacity.h */
 	enum capacity_kind kind;
-	unsigned int count;
+	unsigned int count; /* in total, not in addition */
 };
 
-/* Where state comes from. It calls the entry_take_*() of entry.h. */
+/*
+ * The platform's source of configuration, backend servers and nodes. It
+ * delivers what it reads through entry_take_*() of entry.h.
+ */
 struct source_ops {
+	/* Begin to read; false on failure. */
 	bool (*start)(struct source *);
-	/* Once the node knows its state, or more of it, for others to find. */
+	/*
+	 * Register this node for discovery by others; called when it has loaded
+	 * its state, and again when it has loaded more of it.
+	 */
 	void (*announce)(struct source *);
-	/* Others are not to find it any more. */
+	/* Remove this node from discovery. */
 	void (*retract)(struct source *);
-	/* Find those others, once more: entry_take_nodes(). */
+	/* Discover the other nodes again: entry_take_nodes(). */
 	void (*find_nodes)(struct source *);
 	/*
-	 * What it reads from has come back from an older copy of itself: all
-	 * is read anew, and what this node wrote there is written again.
+	 * The platform's store was restored from an older copy (see era.h):
+	 * read everything again, and repeat what this node wrote to it.
 	 */
 	void (*rewound)(struct source *);
-	/* There is news of a subject: look again when it is due. */
+	/* A subject has changed: read it again when a read is due. */
 	void (*read)(struct source *, enum relay_subject);
 	/*
-	 * How far the servers' changes have been read, in a measure of the
-	 * source's own, which only grows; 0: not known. And go on from there,
-	 * as what lies before is in force.
+	 * The position up to which changes of the servers have been read, in a
+	 * unit of the source that only grows; 0: unknown. Setting it makes the
+	 * source continue there, as all earlier changes have been applied.
 	 */
 	uint64_t (*servers_position)(const struct source *);
 	void (*set_servers_position)(struct source *, uint64_t);
 	/*
-	 * The log of duties: append a claim or a renewal with notes (NULL:
-	 * none) if the log ends there, then entry_duty_appended(); find the
-	 * newest claim and notes, then entry_duty_looked().
+	 * The log of duties (see duty.h). duty_append() appends a claim or a
+	 * renewal with notes (NULL: none) only if the log ends at `at`, then
+	 * calls entry_duty_appended(). duty_look() finds the newest claim and
+	 * notes, then calls entry_duty_looked().
 	 */
 	void (*duty_append)(
 	    struct source *, uint64_t at, bool claim, const char *notes);
 	void (*duty_look)(struct source *);
-	/* Counts as JSON; then entry_duty_reported(). */
+	/* Report a window's counts; then calls entry_duty_reported(). */
 	void (*report_usage)(struct source *, uint64_t window, json_t *counts);
-	/* False: not now; else entry_duty_ordered() follows. */
+	/* False: not possible now; else entry_duty_ordered() is called later.
+	 */
 	bool (*order_servers)(struct source *, const struct server_order *);
-	/* A configuration's text; NULL: it cannot be understood. */
+	/* Decode the text of a configuration; NULL if it is invalid. */
 	struct route_table *(*decode_table)(
 	    struct source *, const char *, size_t);
-	/* Its own counters, as text exposition. */
+	/* Append the source's own metrics in the text exposition format. */
 	void (*metrics)(const struct source *, GString *);
 	void (*finish)(struct source *);
 };
