--- a/log-io.c
+++ b/log-io.c
@@ -345,7 +345,7 @@
 
 /*
  * Pass an event to the core loop. If the ring is full because the core loop is
- * slow, the event waits in io->late and no more pages are read meanwhile.
+ * slow, the event waits in a list and no more pages are read meanwhile.
  * Events are never dropped, since the fold of a stream would miss the records
  * of a lost page.
  */
