--- a/log-io.c
+++ b/log-io.c
@@ -61,8 +61,8 @@
 	char *text;
 	char id[LOG_ID_SIZE];
 	uint64_t cookie;
-	uint64_t
-	    appended; /* offset of a retry; an earlier attempt may precede */
+	/* Offset of a retry, or 0; an earlier attempt may have a lower one. */
+	uint64_t appended;
 	msec until;
 	msec not_before;
 	msec backoff;
@@ -88,7 +88,7 @@
 	CURLM *multi;
 	struct op_list ops;
 	unsigned int nappends; /* append requests in progress */
-	unsigned int rate;
+	unsigned int rate;     /* appends per second */
 	double tokens;
 	msec filled_at;
 	msec refused_until;
--- a/proto.x
+++ b/proto.x
@@ -229,8 +229,8 @@
 struct sp_place_tell {
 	unsigned int id;
 	unsigned hyper server;		/* 0: none */
-	unsigned int wait_ms;		/* to read all prompts queued there, with this one */
-	unsigned int ahead_ms;		/* the part before this one, as urgent or more */
+	unsigned int wait_ms;		/* to read the prompts there and this one */
+	unsigned int ahead_ms;		/* of that, before this one: as urgent or more */
 	unsigned int limit_ms;		/* reject if ahead_ms is more; 0: no limit */
 	bool rated;			/* counted against the server's rate */
 	sp_place_rate rates<SAVORY_RATED_MAX>;	/* of some servers of its group */
@@ -374,7 +374,7 @@
 struct sp_table_ask {
 	unsigned hyper have;		/* version in force at the sender */
 	unsigned hyper want;		/* 0, or the version of the parts received */
-	unsigned hyper parts;		/* bit mask of parts received, bit 0 for part 0 */
+	unsigned hyper parts;		/* bit mask of the parts received */
 };
 
 /* A part of the platform's text; parts may arrive in any order. */
@@ -401,7 +401,7 @@
 	unsigned hyper high;		/* with low: the request's id */
 	unsigned hyper low;
 	sp_poison_life lives<SAVORY_LIVES_MAX>;
-	unsigned int served_age_ms;	/* last full response; the largest number: never */
+	unsigned int served_age_ms;	/* since a full response; largest: never */
 };
 
 /* Distributes records to other nodes. */
