--- a/doc-fold.c
+++ b/doc-fold.c
@@ -1,6 +1,6 @@
 /*
- * Which service document is in force; see doc-fold.h for the records and for
- * when a fold has standing to judge them.
+ * Computes which service document is in force; see doc-fold.h for the records
+ * and for when a fold can judge them.
  */
 
 #define LOG_PART "doc"
@@ -12,7 +12,7 @@
 
 #include <xxhash.h>
 
-/* What a checkpoint or a peer says of one service, before it is believed. */
+/* A checkpoint's or a peer's state of one service, before it is checked. */
 struct doc_claim {
 	const char *service;
 	uint64_t at;
@@ -79,7 +79,7 @@
 	*f = (struct doc_fold){ 0 };
 	RB_INIT(&f->services);
 	RB_INIT(&f->unknown);
-	/* Before the first record no service exists, and that is certain. */
+	/* Before the first record no service exists, so the fold is exact. */
 	f->next = f->since = f->index_anchor = 1;
 	f->complete = true;
 }
@@ -90,7 +90,7 @@
 	struct doc_version *v;
 
 	while ((v = RB_ROOT(tree)) != NULL) {
-		/* The analyzer loses the tree's links in RB_REMOVE. */
+		/* The analyzer can't follow the tree's links in RB_REMOVE. */
 		/* NOLINTNEXTLINE(clang-analyzer-unix.Malloc) */
 		version_free(f, v);
 	}
@@ -103,7 +103,7 @@
 	tree_free(f, &f->unknown);
 }
 
-/* The tree that a service stands in: only held documents can be seen. */
+/* The tree that contains a service; `services` has those with a document. */
 static struct doc_version_tree *
 version_tree(struct doc_fold *f, const struct doc_version *v)
 {
@@ -229,7 +229,7 @@
 	enum doc_verdict verdict;
 	json_t *o;
 
-	/* Two reads may overlap; what was folded stays folded once. */
+	/* Two reads may overlap; each record is folded once. */
 	if (offset < f->next)
 		return DOC_SKIPPED;
 	if (offset > f->next)
@@ -277,15 +277,15 @@
 	if (v == NULL || v->exact)
 		return judge_edit(f, v, offset, wall, o);
 	/*
-	 * The fold lacks earlier records of this service, so it can't know
-	 * whether the base was in force. Guessing would show as two nodes
-	 * with different documents in force at one offset.
+	 * The fold lacks earlier records of this service, so it can't tell
+	 * whether the base was in force. A guess could leave two nodes with
+	 * different documents in force at one offset.
 	 */
 	v->last_edit = offset;
 	return DOC_UNKNOWN;
 }
 
-/* Judge an edit of a service that is known exactly; NULL: it is not there. */
+/* Judge an edit of an exact service; `v` is NULL when none exists. */
 static enum doc_verdict
 judge_edit(struct doc_fold *f, struct doc_version *v, uint64_t offset,
     msec wall, const json_t *o)
@@ -319,7 +319,7 @@
 	return DOC_ACCEPTED;
 }
 
-/* The check of a text is a function of the text alone, alike on all nodes. */
+/* Depends only on the text, so that all nodes reach the same result. */
 static bool
 text_accepted(const char *service, const char *text)
 {
@@ -370,12 +370,12 @@
 }
 
 /*
- * Two failures are met here. A checkpoint is delayed past a new edit, and
- * taking it would bring the older document back: an edit that follows its
- * `at` makes it an open one, which at most tells a fold without anything what
- * to hold. Or records between its `at` and this fold's start are gone, and
- * one of them may be an edit: then it is open too. A closed one states the
- * truth at this offset, so it agrees with every exact fold.
+ * Handles two failures. A checkpoint is delayed past a new edit, and applying
+ * it would restore the older document: an edit after its `at` makes it an
+ * open one, whose version a fold may hold but not as exact. Or records between
+ * its `at` and this fold's start are gone, and one of them may be an edit: then
+ * it is open too. A closed checkpoint states what is in force at this offset,
+ * so it agrees with every exact fold.
  */
 static enum doc_verdict
 claim_take(struct doc_fold *f, const struct doc_claim *c, bool is_exact)
@@ -413,8 +413,8 @@
 }
 
 /*
- * Does an index agree with what is known? It names every service that is
- * held and, when this fold knows all names, no other.
+ * True when an index agrees with this fold: it lists every service with a
+ * document and, when the fold is complete, no other.
  */
 static bool
 index_fits(struct doc_fold *f, const json_t *names)
@@ -444,7 +444,7 @@
 
 	if (!json_is_array(names))
 		return false;
-	/* Sorted, so that no name stands twice. */
+	/* Sorted, so that no name appears twice. */
 	json_array_foreach (names, i, name) {
 		if (!json_is_string(name) ||
 		    !name_valid(json_string_value(name)) ||
@@ -455,7 +455,7 @@
 	return true;
 }
 
-/* The services outside the index do not exist; the others are to come. */
+/* Services outside the index do not exist; the others get checkpoints. */
 static void
 index_take(struct doc_fold *f, const json_t *names)
 {
@@ -484,7 +484,7 @@
 	if (!log_record_uint(o, "at", &at) || at >= offset ||
 	    !index_valid(names))
 		return DOC_SKIPPED;
-	/* Open: a service may have been created since; as for checkpoints. */
+	/* Open, as for checkpoints: a service may have been created since. */
 	if (f->since > at + 1 || f->last_create > at)
 		return DOC_STALE;
 	if (!index_fits(f, names))
@@ -514,8 +514,8 @@
 
 	if (first <= f->next)
 		return true;
-	log_info("records %" PRIu64 " to %" PRIu64
-		 " of the documents were missed",
+	log_info("documents stream: records %" PRIu64 " to %" PRIu64
+		 " were deleted before they were read",
 	    f->next, first - 1);
 	f->next = f->since = first;
 	f->complete = false;
@@ -564,7 +564,7 @@
 	o = log_record_new("doc-edit", id);
 	json_object_set_new(o, "service", json_string(service));
 	json_object_set_new(o, "base", json_integer((json_int_t)base));
-	/* Text that is not UTF-8 makes no JSON string. */
+	/* A JSON string has to be UTF-8. */
 	if (json_object_set_new(o, "by", json_string(by)) != 0 ||
 	    json_object_set_new(o, "text", json_string(text)) != 0) {
 		json_decref(o);
@@ -617,9 +617,9 @@
 }
 
 /*
- * Due when a late reader can't use the record any more, or it has reached
- * half of the age at which it goes, or lies in the oldest quarter of what is
- * kept. Before anything has aged out, offsets say nothing.
+ * Due when a late reader can't use the record any more, or the record has
+ * reached half of the maximum age, or lies in the oldest quarter of the kept
+ * records. The last rule needs that some records have already aged out.
  */
 static bool
 anchor_due(uint64_t anchor, msec wall, const struct doc_edges *e)
@@ -713,7 +713,7 @@
 	return true;
 }
 
-/* Go on from the peer's state, at the peer's offset. */
+/* Replace this fold's state by the peer's, including the offset. */
 static void
 import_replace(struct doc_fold *f, const json_t *o)
 {
@@ -744,7 +744,7 @@
 	}
 }
 
-/* The peer has read no further: its word counts as a checkpoint's. */
+/* The peer has read no further: its state is applied like checkpoints. */
 static void
 import_merge(struct doc_fold *f, const json_t *o)
 {
@@ -767,7 +767,7 @@
 	json_decref(names);
 }
 
-/* An exact peer also counts as an index; see apply_index(). */
+/* An exact peer's services also serve as an index; see apply_index(). */
 static void
 import_names(struct doc_fold *f, const json_t *o, const json_t *names)
 {
@@ -783,7 +783,7 @@
 	f->index_wall = json_integer_value(json_object_get(o, "index_wall"));
 }
 
-/* Would replacing lose a version that is held, or go to a lower one? */
+/* True when the export has every service of this fold, at no lower version. */
 static bool
 import_keeps(struct doc_fold *f, const json_t *o)
 {
@@ -804,9 +804,9 @@
 }
 
 /*
- * What is held always comes from offsets below `next`. A fold that knows some
- * service exactly therefore takes nothing from a peer that has read further
- * without knowing all: it would hold a version that it has yet to judge.
+ * A fold's versions always come from offsets below `next`. A fold with an
+ * exact service therefore takes nothing from a peer that has read further
+ * without being exact: it would hold a version that it has yet to judge.
  */
 bool
 doc_fold_import(struct doc_fold *f, const json_t *o)
@@ -823,7 +823,7 @@
 	}
 	if (!is_exact && (fold_holds_any_exact(f) || !import_keeps(f, o)))
 		return true;
-	/* A peer that is certain of less than this fold holds is wrong. */
+	/* An exact peer that lacks a version of this fold is in error. */
 	if (!import_keeps(f, o))
 		return false;
 	import_replace(f, o);
--- a/document.c
+++ b/document.c
@@ -17,7 +17,7 @@
 #define DOCUMENT_MODELS_MAX 64
 #define DOCUMENT_ORGS_MAX 1024
 #define DOCUMENT_TRAITS_MAX 256
-/* No target is longer than a day, no limit beyond what a fleet could do. */
+/* Upper bounds: targets of one day, limits above any fleet's capacity. */
 #define TARGET_MAX (24 * 3600 * MSEC_SECOND)
 #define LIMIT_MAX (100 * 1000 * 1000)
 #define PERMILLE 1000
@@ -43,7 +43,7 @@
 	    { "version", WALK_NAME, true, offsetof(struct doc_model, version) },
 	    { NULL } } };
 
-/* Targets stand in the class's own struct, so their offsets are its. */
+/* Targets are fields of struct doc_class, so offsets are relative to it. */
 static const struct walk_schema targets_schema = { "targets", 0,
 	(const struct walk_field[]){
 	    { "first_token_ms", WALK_MSEC,
@@ -176,7 +176,7 @@
 		g_strlcpy(o->key_sha256, s, sizeof o->key_sha256);
 		return;
 	}
-	/* Not the text itself: it may be the key, pasted by mistake. */
+	/* The text is not printed: it may be the key, pasted by mistake. */
 	walk_add(w, node,
 	    "key_sha256: expected the %d lower-case hex digits of the key's "
 	    "SHA-256",
@@ -201,7 +201,7 @@
 	    NAME_LEN, s);
 }
 
-/* Targets that no engine could meet together. */
+/* Rejects token targets that are longer than the whole answer's. */
 static void
 check_class(struct walk *w, yaml_node_t *node, void *arg)
 {
@@ -222,7 +222,7 @@
 		    c->whole_answer, c->between_tokens);
 }
 
-/* The value of a key in item `i` of a top-level list, for its place. */
+/* The value of a key in item `i` of a top-level list, for a finding. */
 static yaml_node_t *
 place(struct walk *w, yaml_node_t *top, const char *list, unsigned int i,
     const char *key)
@@ -234,8 +234,8 @@
 }
 
 /*
- * Note that item `i` of a list has this value. A finding at its key when an
- * earlier item had it; values that were not filled in are no matter.
+ * Adds the value of item `i` of a list to `seen`, and a finding at its key
+ * when an earlier item had it. Empty values are ignored.
  */
 static void
 check_twice(struct walk *w, yaml_node_t *top, GHashTable *seen,
@@ -288,7 +288,7 @@
 	}
 }
 
-/* Floors are shares of one whole. */
+/* Floors are shares of all slots, so their sum is at most 100%. */
 static void
 check_floors(struct walk *w, yaml_node_t *top, const struct document *d)
 {
@@ -307,8 +307,8 @@
 }
 
 /*
- * A protected class below an unprotected one could be neither shed for it nor
- * kept: tiers and protection would contradict each other.
+ * Rejects a protected class in a lower tier than an unprotected one: the tiers
+ * would require it to be shed first, and its protection forbids that.
  */
 static void
 check_protected(struct walk *w, yaml_node_t *top, const struct document *d)
@@ -331,7 +331,7 @@
 	}
 }
 
-/* What differs between model and plain services. */
+/* Checks and defaults that differ between model and plain services. */
 static void
 check_kind(struct walk *w, yaml_node_t *top, struct document *d)
 {
@@ -343,9 +343,9 @@
 		c = &d->classes[i];
 		item = walk_item(w, walk_child(w, top, "classes"), i);
 		/*
-		 * A model's answer can be computed again; what a plain
-		 * service does again may be a second booking, so a document
-		 * has to say that its calls are repeatable.
+		 * A model's answer can be computed again. A second run of a
+		 * plain service's call may be a second booking, so its
+		 * document has to declare the calls repeatable.
 		 */
 		if (walk_child(w, item, "repeatable") == NULL)
 			c->repeatable = d->kind == SERVICE_MODEL;
@@ -388,7 +388,7 @@
 	ok = walk_run(
 	    &document_schema, d, text, len, DOCUMENT_BYTES_MAX, file, f);
 	log_debug("%s: document of \"%s\" %s", file, d->service,
-	    ok ? "is good" : "has findings");
+	    ok ? "is valid" : "has findings");
 	if (!ok)
 		document_finish(d);
 	return ok;
--- a/document.h
+++ b/document.h
@@ -1,5 +1,5 @@
 /*
- * The service document: what one team states about its service. Parsed from
+ * The service document: a team's configuration of its service. Parsed from
  * YAML, checked as a whole, immutable afterwards.
  */
 
@@ -19,13 +19,13 @@
 	SERVICE_PLAIN  /* plain HTTP services */
 };
 
-/* What the team weighs most when the measures pull apart. */
+/* What takes precedence when attainment and waste conflict. */
 enum service_weighs {
 	WEIGHS_ATTAINMENT,
 	WEIGHS_WASTE
 };
 
-/* A model that the service uses, by the names that its engines know. */
+/* A model that the service uses, by the names that its engines use. */
 struct doc_model {
 	char name[NAME_SIZE];
 	char version[NAME_SIZE];
@@ -43,14 +43,14 @@
 	msec whole_answer;
 };
 
-/* Limits of one organisation over all nodes; 0 is none. */
+/* Limits of one organisation summed over all nodes; 0 is none. */
 struct doc_limits {
 	unsigned int requests_per_second;
 	unsigned int tokens_per_second;
 	unsigned int in_flight;
 };
 
-/* An organisation that may call: its key, its weight among others. */
+/* An organisation that may call: its key and its fair-share weight. */
 struct doc_org {
 	char name[NAME_SIZE];
 	char key_sha256[65]; /* lower-case hex */
@@ -63,7 +63,7 @@
 	char match[NAME_SIZE];
 	bool fenced;	    /* refuses old fencing numbers */
 	bool resumes;	    /* resumes a stream at an offset */
-	unsigned int slots; /* first guess; 0 is unknown */
+	unsigned int slots; /* initial estimate; 0 is unknown */
 };
 
 /* A whole document; arrays are in the order of the text. */
@@ -83,23 +83,23 @@
 };
 
 /*
- * Parse and check `text`. True when there is no finding; otherwise the
- * document is empty and every finding stands in the list, with `file` as
- * its place. document_finish() is right after either.
+ * Parse and check `text` of so many bytes. True when there is no finding;
+ * otherwise the document is empty and every finding is added to the list,
+ * with `file` as its file name. Call document_finish() in both cases.
  */
 bool document_parse(
     struct document *, const char *, size_t, const char *, struct findings *);
 void document_finish(struct document *);
 
-/* Index of the class, or -1. */
+/* Index of the class with this name, or -1. */
 int document_class(const struct document *, const char *);
 /*
- * The organisation whose key this is, or NULL. Every organisation's hash is
- * compared in constant time, so that timing says nothing of a key.
+ * The organisation with this key, or NULL. Every organisation's hash is
+ * compared in constant time, so that timing reveals nothing about a key.
  */
 const struct doc_org *
 document_org_by_key(const struct document *, const char *);
-/* Traits of the first pattern that matches, else defaults. */
+/* Traits of the first pattern that matches this name, else defaults. */
 struct doc_trait document_trait(const struct document *, const char *);
 
 #endif /* DOCUMENT_H */
--- a/savory-util.c
+++ b/savory-util.c
@@ -1,5 +1,5 @@
 /*
- * Time, names, findings and logs: the small things of savory.h.
+ * Time, names, findings and logs; see savory.h.
  */
 
 #define LOG_PART "main"
@@ -132,7 +132,8 @@
 	return "error";
 }
 
-/* Whatever bytes a message quotes, the line stays valid JSON. */
+/* Keeps the line valid JSON when a message contains bytes that are not UTF-8.
+ */
 static void
 log_json_set(json_t *o, const char *key, const char *text)
 {
@@ -141,7 +142,7 @@
 	json_object_set_new(o, key, json_string(valid));
 }
 
-/* Fields of ours: "SAVORY_NODE" is shown as "node". */
+/* Fields with savorypier's prefix: "SAVORY_NODE" is shown as "node". */
 static void
 log_json_fields(json_t *o, const GLogField *fields, gsize n)
 {
@@ -207,7 +208,7 @@
 	else
 		return false;
 	log_json = json;
-	/* GLib takes one writer in the life of a process. */
+	/* GLib accepts a writer only once per process. */
 	if (!log_opened)
 		g_log_set_writer_func(log_write, NULL, NULL);
 	log_opened = true;
--- a/savory.h
+++ b/savory.h
@@ -1,6 +1,6 @@
 /*
- * The main types that every part shares: time, node ids, findings, logs and
- * random numbers. Nothing in here does input or output but the log.
+ * Types and functions that all parts share: time, node ids, findings and
+ * logs. Only the log does output.
  */
 
 #ifndef SAVORY_H
@@ -26,22 +26,24 @@
 /*
  * A point in time or a span, in milliseconds. Points come from a clock that
  * runs through suspension (CLOCK_BOOTTIME), so they compare within a process
- * only. Cores never read a clock: `now` is always an argument.
+ * only. Code without input and output never reads a clock: it gets the time
+ * as an argument `now`.
  */
 typedef int64_t msec;
 
-/* A point that is not reached, and one second as a span. */
+/* A point in time that is never reached, and a span of one second. */
 #define MSEC_NEVER INT64_MAX
 #define MSEC_SECOND ((msec)1000)
 
-/* The process's own clock. */
+/* Now by CLOCK_BOOTTIME, in ms. */
 msec msec_now(void);
-/* Milliseconds since 1970, for people and for the log only. */
+/* Milliseconds since 1970, for display and for the log only. */
 msec msec_wall(void);
 
 /*
- * A node, engine or service by the 64-bit xxHash of its name. Compact on the
- * wire; the clash of two names among 1,000 has a chance of 3e-14.
+ * Identifies a node, engine or service by the 64-bit xxHash of its name.
+ * Compact on the wire; among 1,000 names the probability of a collision is
+ * 3e-14.
  */
 typedef uint64_t name_id;
 
@@ -50,7 +52,7 @@
 /* True for 1 to NAME_LEN characters of [a-z0-9._-], starting with [a-z0-9]. */
 bool name_valid(const char *);
 
-/* One complaint about a text that a person wrote, with its place. */
+/* One error in a settings file or document, with its position. */
 struct finding {
 	TAILQ_ENTRY(finding) entry;
 	char *file;
@@ -66,7 +68,7 @@
 	unsigned int count;
 };
 
-/* An empty list; its end; one more, by file, line, column and format. */
+/* Initialise, free, and add a finding by file, line, column and format. */
 void findings_init(struct findings *);
 void findings_finish(struct findings *);
 void findings_add(struct findings *, const char *, unsigned int, unsigned int,
@@ -86,9 +88,9 @@
 #define log_warn(...) g_log(LOG_PART, G_LOG_LEVEL_WARNING, __VA_ARGS__)
 
 /*
- * A line that concerns one thing, whose name goes along as a field of its own:
- * log_info_of(LOG_NODE, m->name, "%s is gone", m->name). JSON shows the field,
- * text only the sentence.
+ * A line about one object, whose name is logged as a separate field too:
+ * log_info_of(LOG_NODE, m->name, "%s is gone", m->name). The JSON format
+ * contains the field, the text format only the message.
  */
 #define log_debug_of(field, name, ...) \
 	log_of(G_LOG_LEVEL_DEBUG, field, name, __VA_ARGS__)
@@ -115,13 +117,13 @@
 #define SAVORY_ERROR (savory_error_quark())
 GQuark savory_error_quark(void);
 
-/* What went wrong, as the code of a SAVORY_ERROR. */
+/* Codes of the error domain SAVORY_ERROR. */
 enum savory_error {
 	SAVORY_ERROR_INVALID,	  /* the argument or the text is wrong */
-	SAVORY_ERROR_UNREACHABLE, /* the other side certainly got nothing */
-	SAVORY_ERROR_UNKNOWN,	  /* the other side may have acted */
-	SAVORY_ERROR_REFUSED,	  /* the other side answered no */
-	SAVORY_ERROR_CONFLICT	  /* another was first */
+	SAVORY_ERROR_UNREACHABLE, /* the peer certainly received nothing */
+	SAVORY_ERROR_UNKNOWN,	  /* the peer may have run the request */
+	SAVORY_ERROR_REFUSED,	  /* the peer answered with a refusal */
+	SAVORY_ERROR_CONFLICT	  /* another edit won */
 };
 
 #endif /* SAVORY_H */
--- a/savorypierd.c
+++ b/savorypierd.c
@@ -173,7 +173,7 @@
 		return EXIT_FAILURE;
 	main_stop(d);
 	curl_global_cleanup();
-	log_info("ended");
+	log_info("stopped");
 	return EXIT_SUCCESS;
 }
 
