--- a/cmd-check.c
+++ b/cmd-check.c
@@ -1,5 +1,5 @@
 /*
- * check: all findings of a settings file or a service document.
+ * check: prints all findings of a settings file or a service document.
  */
 
 #define LOG_PART "check"
@@ -19,7 +19,7 @@
 	.exec = cmd_check_exec,
 };
 
-/* Does a line of the text start with this key? */
+/* True when a line of the text starts with this key. */
 static bool
 text_has_key(const char *text, const char *key)
 {
--- a/cmd-edits.c
+++ b/cmd-edits.c
@@ -1,6 +1,6 @@
 /*
- * The edits on the log: what each said, and the verdict that every node's
- * fold comes to.
+ * Reads the edits on the log, each with the verdict that every node's fold
+ * reaches.
  */
 
 #define LOG_PART "edits"
--- a/cmd-explain.c
+++ b/cmd-explain.c
@@ -1,7 +1,7 @@
 /*
- * explain: the story of one request from the logs of several nodes. Beside
- * the request's own lines it shows what changed around it: the servers that
- * it met, the platform, the configuration.
+ * explain: prints one request's events from the logs of several nodes. Besides
+ * the request's own lines it shows related changes: of the backend servers
+ * that it used, the platform and the configuration.
  */
 
 #define LOG_PART "explain"
@@ -11,7 +11,7 @@
 #include <stdlib.h>
 #include <string.h>
 
-/* What happened so long before its first line may be the cause. */
+/* Related events are shown from so long before the request's first line. */
 #define EXPLAIN_BEFORE_MS 6000
 
 static enum cmd_retval cmd_explain_exec(struct cmd *);
@@ -31,9 +31,9 @@
 	int64_t time;
 	const char *event;
 	const char *node;
-	const char *request; /* NULL: of none */
+	const char *request; /* request id; NULL: none */
 	const char *server;  /* NULL: none */
-	const char *same;    /* what it asks; NULL: not said */
+	const char *same; /* fingerprint of the request's content; NULL: none */
 };
 
 static const char *
@@ -42,7 +42,7 @@
 	return json_string_value(json_object_get(o, key));
 }
 
-/* Lines may follow a prefix of whoever collected them. */
+/* Lines may have a prefix added by a log collector. */
 static void
 explain_read(const char *name, const char *text, GArray *lines)
 {
@@ -69,7 +69,7 @@
 		g_array_append_val(lines, l);
 	}
 	if (cut > 0)
-		cmd_say("%s: %u lines that cannot be read", name, cut);
+		cmd_say("%s: %u lines are not valid log events", name, cut);
 }
 
 static int
@@ -80,7 +80,7 @@
 	return x->time < y->time ? -1 : x->time > y->time;
 }
 
-/* The time of the request's first line, or of its arrival; -1: none. */
+/* The earliest time of the request, its arrival if logged; -1: no line. */
 static int64_t
 explain_begin(const GArray *lines, const char *id, int64_t *end)
 {
@@ -118,7 +118,7 @@
 	return false;
 }
 
-/* Is this said of what the request asks, however often it was sent? */
+/* True when the request has this fingerprint; retries share it. */
 static bool
 explain_is_same(const GArray *lines, const char *id, const char *same)
 {
@@ -134,7 +134,7 @@
 	return false;
 }
 
-/* Lines of no request that may explain this one. */
+/* True for a line of another or no request that may explain this one. */
 static bool
 explain_concerns(
     const GArray *lines, const struct line *l, const char *id, const char *node)
@@ -208,8 +208,9 @@
 
 	g_array_sort(lines, line_compare);
 	if ((begin = explain_begin(lines, id, &end)) == -1) {
-		cmd_say("no line is about %s; lines on what went well are a "
-			"part only",
+		cmd_say(
+		    "no line for request %s; lines about successful requests "
+		    "may be left out",
 		    id);
 		return CMD_REFUSED;
 	}
--- a/cmd-node.c
+++ b/cmd-node.c
@@ -1,5 +1,5 @@
 /*
- * status, dump, drain, entry: what the nodes say of themselves.
+ * status, dump, drain, entry: query and control the nodes.
  */
 
 #define LOG_PART "node"
@@ -49,7 +49,7 @@
 	.exec = cmd_entry_exec,
 };
 
-/* A node to ask for its own status. */
+/* A node whose own status is requested. */
 struct ask {
 	const struct cmd *cmd;
 	const char *name;
@@ -79,7 +79,7 @@
 	o = control_call(c, "GET", c->control, "/control/status", &error);
 	if (o != NULL)
 		return o;
-	/* Asking changes nothing, whatever became of the answer. */
+	/* A GET changes nothing, so it certainly took no effect. */
 	if (error->code == SAVORY_ERROR_UNKNOWN)
 		error->code = SAVORY_ERROR_UNREACHABLE;
 	*retval = cmd_fail(error);
@@ -101,7 +101,7 @@
 	return strcmp(text_of(member, "state"), "dead") == 0;
 }
 
-/* Ask each member that is not dead: {name: its own status}. */
+/* Request the status of each member that is not dead: {name: status}. */
 static json_t *
 status_ask_all(const struct cmd *c, const json_t *members)
 {
@@ -130,7 +130,7 @@
 	return all;
 }
 
-/* The version of a service that a node says it has; 0: none. */
+/* The version of a service in a node's status; 0: none. */
 static json_int_t
 status_version(const json_t *status, const char *service)
 {
@@ -145,7 +145,7 @@
 	return 0;
 }
 
-/* One service's line: the newest version that any node has, and who lags. */
+/* One service's newest version on any node, and the nodes without it. */
 static json_t *
 status_document(
     const json_t *members, const json_t *statuses, const char *service)
@@ -307,7 +307,7 @@
 	return address;
 }
 
-/* Ask the named node and print its answer. */
+/* Send a request to the named node and print its answer. */
 static enum cmd_retval
 node_call(const struct cmd *c, const char *method, const char *path)
 {
--- a/cmd-publish.c
+++ b/cmd-publish.c
@@ -1,6 +1,6 @@
 /*
- * publish: put a service document on the log and tell its verdict, which is
- * the log's order and not this tool's.
+ * publish: appends a service document to the log and prints its verdict, which
+ * depends on the log's order and not on this tool.
  */
 
 #define LOG_PART "publish"
@@ -14,7 +14,7 @@
 #include <unistd.h>
 
 #define APPEND_TIMEOUT (15 * MSEC_SECOND)
-/* How often, and how long, a node is asked for what the log can't tell. */
+/* Interval and time limit of polling a node when the log lacks records. */
 #define ASK_EVERY ((msec)200)
 #define ASK_TIMEOUT (5 * MSEC_SECOND)
 
@@ -37,7 +37,7 @@
 	.exec = cmd_publish_exec,
 };
 
-/* One publication on its way. */
+/* One publication in progress. */
 struct publish {
 	const char *file;
 	const char *url;
@@ -49,7 +49,7 @@
 	struct edits edits;
 };
 
-/* Check the text here, where its author can see the findings. */
+/* Check the text before publishing, to print the findings to its author. */
 static bool
 publish_check(struct publish *p)
 {
@@ -79,7 +79,7 @@
 	return g_strdup_printf("%s@%s", g_get_user_name(), g_get_host_name());
 }
 
-/* The winner of a conflict: the version in force, against this text. */
+/* Report a conflict: the version in force and its diff to this text. */
 static void
 publish_conflict(struct publish *p, json_t *o)
 {
@@ -123,16 +123,17 @@
 	case DOC_CONFLICT:
 		break;
 	case DOC_REFUSED:
-		cmd_say("%s: refused, the nodes find it wrong", p->service);
+		cmd_say(
+		    "%s: refused, the nodes found errors in it", p->service);
 		break;
 	default:
 		publish_unknown(
-		    p, "the log no longer holds the records that judge it");
+		    p, "the log has deleted the records that decide it");
 		break;
 	}
 }
 
-/* The version that a node has in force; 0: none, or no node to ask. */
+/* The version in force on the node at --control; 0: none or no --control. */
 static uint64_t
 publish_ask(const struct cmd *c, const char *service)
 {
@@ -154,9 +155,9 @@
 }
 
 /*
- * The log no longer holds what judges this edit, but nodes that have followed
- * it know. One that has the edit's own version in force accepted it; anything
- * else proves nothing, since the node may only be behind.
+ * The log has deleted the records that decide this edit, but nodes have read
+ * them. A node with the edit's version in force accepted it; any other
+ * version proves nothing, since the node may lag behind.
  */
 static bool
 publish_is_in_force(const struct cmd *c, const struct edit *e)
@@ -171,7 +172,7 @@
 	return false;
 }
 
-/* Tell the verdict on an edit that stands on the log. */
+/* Print the verdict on an edit from the log. */
 static enum cmd_retval
 publish_verdict(const struct cmd *c, struct publish *p, struct edit *e)
 {
@@ -193,7 +194,7 @@
 	return publish_retval(e->verdict);
 }
 
-/* The version that the text was made from, if that is known. */
+/* Determine the version that the text is based on. */
 static bool
 publish_base(const struct cmd *c, struct publish *p)
 {
@@ -209,8 +210,8 @@
 		return true;
 	if ((p->base = publish_ask(c, p->service)) != 0)
 		return true;
-	cmd_say("the log no longer tells which version of %s is in force: give "
-		"--base, or --control to ask a node; nothing published",
+	cmd_say("the log has deleted the version of %s that is in force: give "
+		"--base, or --control to query a node; nothing published",
 	    p->service);
 	return false;
 }
@@ -240,7 +241,7 @@
 	return CMD_UNKNOWN;
 }
 
-/* Append the edit and read its verdict back. */
+/* Append the edit, then read the log to determine its verdict. */
 static enum cmd_retval
 publish_append(const struct cmd *c, struct publish *p)
 {
@@ -268,7 +269,7 @@
 		return publish_verdict(c, p, e);
 	publish_unknown(p, error != NULL
 			       ? error->message
-			       : "its record has aged out of the log already");
+			       : "the log has already deleted its record");
 	return publish_json_unknown(c, p);
 }
 
@@ -287,7 +288,7 @@
 	if (id != NULL)
 		g_strlcpy(p->id, id, sizeof p->id);
 	if (!edits_read(&p->edits, p->url, &error)) {
-		/* Reading changes nothing, whatever became of the answer. */
+		/* A read changes nothing, so it certainly took no effect. */
 		error->code = SAVORY_ERROR_UNREACHABLE;
 		cmd_say("nothing published");
 		return cmd_fail(error);
--- a/cmd-send.c
+++ b/cmd-send.c
@@ -1,6 +1,6 @@
 /*
- * send: one request as a caller would make it; the answer streams to the
- * terminal and the outcome comes last.
+ * send: sends one request as a caller would, and prints the streamed answer
+ * and then the outcome.
  */
 
 #define LOG_PART "send"
@@ -11,7 +11,7 @@
 
 #define SEND_TIMEOUT (10 * 60 * MSEC_SECOND)
 #define SEND_HEADERS_MAX 12
-/* Longest event or whole answer that is kept to be decoded. */
+/* Longest event or whole answer in bytes that can be decoded. */
 #define SEND_LINE_MAX (4 * 1024 * 1024)
 #define OUTCOME_HEADER "savorypier-outcome:"
 
@@ -65,7 +65,7 @@
 	g_free(s->error);
 }
 
-/* Header or trailer line; a trailer's outcome is the later and the true one. */
+/* Header or trailer line; a trailer's outcome replaces the header's. */
 void
 send_stream_header(struct send_stream *s, const char *data, size_t n)
 {
@@ -187,8 +187,9 @@
 }
 
 /*
- * The router's word on the outcome counts. Without it a request that broke
- * off, or ended without its last event, may have run: unknown, never "ran".
+ * The outcome that the router reports decides. Without one a request that was
+ * cut off, or ended without its last event, may have run: unknown, never
+ * "ran".
  */
 enum cmd_retval
 send_retval(const struct send_stream *s, long status)
@@ -280,7 +281,7 @@
 	return text;
 }
 
-/* The address to send to: given, or a node's answer; NULL: none. */
+/* The address to send to, from --to or a node's answer; NULL: none. */
 static char *
 send_address(const struct cmd *c, enum cmd_retval *retval)
 {
@@ -303,7 +304,7 @@
 	json_decref(o);
 	if (address != NULL)
 		return address;
-	cmd_say("no node takes requests%s%s", error != NULL ? ": " : "",
+	cmd_say("no node accepts requests%s%s", error != NULL ? ": " : "",
 	    error != NULL ? error->message : "");
 	*retval = CMD_UNREACHABLE;
 	return NULL;
--- a/cmd-show.c
+++ b/cmd-show.c
@@ -1,5 +1,5 @@
 /*
- * show, history, diff: what the log says of a service's document.
+ * show, history, diff: print a service's document and its edits on the log.
  */
 
 #define LOG_PART "show"
@@ -47,7 +47,7 @@
 	return c->log_url;
 }
 
-/* Read the log and hand it to one of the commands here. */
+/* Read the log and run one of this file's commands on it. */
 static enum cmd_retval
 show_run(const struct cmd *c,
     enum cmd_retval (*fn)(const struct cmd *, struct edits *))
@@ -85,7 +85,7 @@
 	g_autofree char *time = NULL;
 
 	if (v == NULL) {
-		cmd_say("%s: the log holds no document", c->args[0]);
+		cmd_say("%s: the log contains no document", c->args[0]);
 		return CMD_REFUSED;
 	}
 	if (c->json) {
@@ -96,7 +96,7 @@
 	cmd_say("%s version %" PRIu64 " by %s of %s", v->service, v->version,
 	    v->by, time);
 	if (!v->exact)
-		cmd_say("the log no longer holds all records; a later version "
+		cmd_say("the log has deleted some records; a later version "
 			"may be in force");
 	fputs(v->text, stdout);
 	return CMD_OK;
@@ -139,7 +139,7 @@
 		cmd_print_json(json_incref(all));
 	json_decref(all);
 	if (n == 0)
-		cmd_say("%s: the log holds no edit", c->args[0]);
+		cmd_say("%s: the log contains no edit", c->args[0]);
 	return n == 0 ? CMD_REFUSED : CMD_OK;
 }
 
@@ -153,7 +153,8 @@
 	if (g_ascii_string_to_unsigned(number, 10, 1, INT64_MAX, &n, NULL))
 		text = edits_text(e, c->args[0], n);
 	if (text == NULL)
-		cmd_say("%s: the log holds no version %s", c->args[0], number);
+		cmd_say(
+		    "%s: the log contains no version %s", c->args[0], number);
 	return text;
 }
 
--- a/cmd-table.c
+++ b/cmd-table.c
@@ -1,5 +1,5 @@
 /*
- * The table of commands and the parsing of the command line by it.
+ * The table of commands; parses the command line by it.
  */
 
 #define LOG_PART "tool"
@@ -10,7 +10,7 @@
 #include <stdlib.h>
 #include <string.h>
 
-/* Keys of long options, out of the way of short ones. */
+/* Keys of long options, above the characters of short ones. */
 #define KEY_GLOBAL 0x100
 #define KEY_COMMAND 0x200
 
@@ -77,7 +77,7 @@
 	return n;
 }
 
-/* argp's form of a table of options. */
+/* Convert a table of options to argp's. */
 static struct argp_option *
 options_argp(const struct cmd_option *o, int key)
 {
@@ -116,7 +116,7 @@
 	}
 }
 
-/* The first pass ends at the command's name; its own options follow it. */
+/* The first pass ends at the command's name; its options follow the name. */
 static error_t
 parse_name(int key, char *arg, struct argp_state *state)
 {
--- a/cmd-textdiff.c
+++ b/cmd-textdiff.c
@@ -1,6 +1,6 @@
 /*
- * A unified diff of two texts by lines, after Myers' greedy algorithm: the
- * fewest lines removed and added.
+ * Unified line diff of two texts by Myers' greedy algorithm, which finds the
+ * fewest removed and added lines.
  */
 
 #define LOG_PART "diff"
@@ -10,8 +10,8 @@
 
 #define CONTEXT 3
 /*
- * The search keeps a row for each edit, so its memory grows with the square.
- * Texts that differ in more lines than this show as replaced as a whole.
+ * The search keeps a row for each edit, so its memory is quadratic. Texts that
+ * differ in more lines than this are shown as replaced as a whole.
  */
 #define EDITS_MAX 2000
 
@@ -38,7 +38,7 @@
 {
 	l->line = g_strsplit(text, "\n", -1);
 	l->n = (int)g_strv_length(l->line);
-	/* A text ends with a newline, which starts no line. */
+	/* The newline at the end of a text starts no further line. */
 	if (l->n > 0 && *l->line[l->n - 1] == '\0')
 		l->n--;
 }
@@ -51,7 +51,7 @@
 	g_array_append_val(d->out, line);
 }
 
-/* From the furthest point on diagonal k with one edit more, run down it. */
+/* The furthest point on diagonal k, after one more edit and equal lines. */
 static int
 diff_furthest(const struct diff *d, const int *row, int edits, int k)
 {
@@ -91,7 +91,7 @@
 	return -1;
 }
 
-/* Walk back from the end along the rows. */
+/* Trace the edits back from the end along the rows. */
 static void
 diff_trace(struct diff *d, int edits)
 {
@@ -132,14 +132,14 @@
 		diff_add(d, '-', d->old.line[i]);
 }
 
-/* The result was built from the end, so line i stands at len - 1 - i. */
+/* The result was built from the end, so line i has index len - 1 - i. */
 static const struct diff_line *
 diff_line(const struct diff *d, guint i)
 {
 	return &g_array_index(d->out, struct diff_line, d->out->len - 1 - i);
 }
 
-/* Where the hunk ends that has a change at `i`: context and no gap. */
+/* The end of the hunk with a change at `i`: context without a gap. */
 static guint
 hunk_end(const struct diff *d, guint i)
 {
--- a/cmd-top.c
+++ b/cmd-top.c
@@ -1,6 +1,6 @@
 /*
- * top: requests and first-token times by class, live, summed over the nodes'
- * metrics.
+ * top: shows request rates and first-token times by class live, summed over
+ * the nodes' metrics.
  */
 
 #define LOG_PART "top"
@@ -25,7 +25,7 @@
 	TOP_OUTCOMES
 };
 
-/* Requests whose first token came within `le` ms; cumulative. */
+/* Number of requests with a first token within `le` ms; cumulative. */
 struct top_bucket {
 	double le;
 	uint64_t n;
@@ -93,7 +93,7 @@
 	}
 }
 
-/* The value of a label in the text between the braces, copied. */
+/* Copy the value of a label from the text between the braces. */
 static bool
 label_get(const char *labels, const char *name, char *out, size_t size)
 {
@@ -154,7 +154,7 @@
 		c->outcomes[TOP_UNKNOWN] += n;
 }
 
-/* The class's bucket with this bound, in ascending order; NULL: no room. */
+/* Find or insert the bucket with this bound, sorted; NULL: array is full. */
 static struct top_bucket *
 bucket_get(struct top_class *c, double le)
 {
@@ -214,7 +214,7 @@
 		top_add_line(t, lines[i]);
 }
 
-/* A counter that went back belongs to a node that has gone or restarted. */
+/* 0 for a lower count, after a node has restarted or is missing. */
 static uint64_t
 count_since(uint64_t now, uint64_t before)
 {
@@ -233,7 +233,7 @@
 	return 0;
 }
 
-/* The bound under which a share of first tokens came; "-" without any. */
+/* Print the bucket bound of a quantile; "-" without first tokens. */
 static void
 quantile_print(GString *s, const struct top_class *c,
     const struct top_class *before, double share)
@@ -318,7 +318,7 @@
 		g_string_truncate(f->text, 0);
 }
 
-/* Sum the metrics of all nodes that answer. */
+/* Sum the metrics of all nodes that respond. */
 static void
 top_sample(struct top *t, const json_t *members)
 {
--- a/cmd-util.c
+++ b/cmd-util.c
@@ -1,5 +1,5 @@
 /*
- * What the commands share: messages, files, times and HTTP.
+ * Functions that the commands share: messages, files, times and HTTP.
  */
 
 #define LOG_PART "tool"
@@ -134,9 +134,9 @@
 	curl_easy_setopt(
 	    easy, CURLOPT_CONNECTTIMEOUT_MS, (long)CONNECT_TIMEOUT);
 	/*
-	 * libcurl sends a request again by itself when a kept connection
-	 * turns out dead. On a fresh one it never does, so that a booking
-	 * is sent once.
+	 * libcurl resends a request when a reused connection turns out to be
+	 * closed. On a fresh connection it never does, so that a booking is
+	 * sent only once.
 	 */
 	curl_easy_setopt(easy, CURLOPT_FRESH_CONNECT, 1L);
 	curl_easy_setopt(easy, CURLOPT_FORBID_REUSE, 1L);
@@ -185,7 +185,7 @@
 		g_string_append_len(s, data, n);
 }
 
-/* The JSON of an answer; an error unless the status is 200. */
+/* The JSON object of an answer, or an error unless the status is 200. */
 static json_t *
 answer_json(const char *url, long status, const GString *s, GError **error)
 {
@@ -222,7 +222,7 @@
 	return o;
 }
 
-/* The nodes' key, from the file or the environment; "" without either. */
+/* The peer key, from the file or the environment; "" without either. */
 static char *
 peer_key(const struct cmd *c, GError **error)
 {
@@ -260,7 +260,7 @@
 	return json_call("GET", url, NULL, error);
 }
 
-/* Work that several threads share: each takes the next item. */
+/* Items shared by several threads; each thread takes the next one. */
 struct each {
 	void **items;
 	unsigned int n;
@@ -279,7 +279,7 @@
 	return NULL;
 }
 
-/* This thread works too, so that all is done even when no other starts. */
+/* The calling thread works too, so no item is left if no thread starts. */
 void
 cmd_each(void **items, unsigned int n, void (*fn)(void *))
 {
--- a/document.c
+++ b/document.c
@@ -245,7 +245,7 @@
 		return;
 	if (strcmp(key, "key_sha256") == 0)
 		value = "this hash";
-	walk_add(w, place(w, top, list, i, key), "%s: %s stands twice in %s",
+	walk_add(w, place(w, top, list, i, key), "%s: %s appears twice in %s",
 	    key, value, list);
 }
 
--- a/savorypier.c
+++ b/savorypier.c
@@ -1,5 +1,5 @@
 /*
- * The command-line tool. Its commands stand in cmd-table.c.
+ * The command-line tool. cmd-table.c lists its commands.
  */
 
 #define LOG_PART "tool"
--- a/schemas.h
+++ b/schemas.h
@@ -1,6 +1,6 @@
 /*
- * The schemas of the YAML files, for what has to agree with them: the manual
- * pages and their test.
+ * The schemas of the YAML files, exported for the test that compares the
+ * manual pages with them.
  */
 
 #ifndef SCHEMAS_H
--- a/settings.c
+++ b/settings.c
@@ -17,7 +17,7 @@
 #define PEER_KEY_MIN 16
 #define PEER_KEY_FILE_MAX 4096
 
-/* What the schema fills: the settings and what is only needed on the way. */
+/* The struct that the schema fills: the settings and temporary values. */
 struct settings_walk {
 	struct settings s;
 	char *peer_key_file;
@@ -49,7 +49,7 @@
 static const char *const policy_names[] = { "owner", "random", "round-robin",
 	"least-load", "two-choices", NULL };
 
-/* All maps of the file fill the one struct, so nested offsets start at 0. */
+/* All maps of the file fill this one struct, so nested offsets start at 0. */
 #define AT(field) offsetof(struct settings_walk, field)
 
 static const struct walk_schema listen_schema = { "listen", 0,
@@ -76,7 +76,7 @@
 	    { NULL } },
 	check_platform };
 
-/* What a platform with a store promises and asks. */
+/* Guarantees and requirements of a platform with a store. */
 static const struct walk_schema bounds_schema = { "bounds", 0,
 	(const struct walk_field[]){
 	    { "keys_fail_closed", WALK_BOOL, .offset = AT(s.keys_fail_closed) },
@@ -92,7 +92,7 @@
 	    { "retry_window_s", WALK_CUSTOM, .parse = parse_window_s },
 	    { "stop_s", WALK_CUSTOM, .parse = parse_stop_s }, { NULL } } };
 
-/* What one node at a time does for all, and how it decides. */
+/* Duties that one node at a time performs for all nodes. */
 static const struct walk_schema duties_schema = { "duties", 0,
 	(const struct walk_field[]){
 	    { "address", WALK_CUSTOM, true, .parse = parse_duties },
@@ -165,7 +165,7 @@
 	    { "tls", WALK_MAP, .schema = &tls_schema }, { NULL } },
 	check_settings };
 
-/* A port from 1 to 65535 in decimal; 0 when it is none. */
+/* A port from 1 to 65535 in decimal; 0 when it is invalid. */
 static uint16_t
 port_parse(const char *s)
 {
@@ -247,7 +247,7 @@
 	parse_endpoint(w, node, &((struct settings_walk *)arg)->s.store);
 }
 
-/* Several with commas between. */
+/* A comma-separated list of addresses. */
 static void
 parse_seeds(struct walk *w, const yaml_node_t *node, void *arg)
 {
@@ -279,7 +279,7 @@
 	parse_endpoint(w, node, &((struct settings_walk *)arg)->s.duties);
 }
 
-/* A number of at least 0, which may have a fraction; false when it is none. */
+/* A decimal number from 0 to `max`; false after a finding. */
 static bool
 parse_fraction(struct walk *w, const yaml_node_t *node, double max, double *out)
 {
@@ -339,7 +339,7 @@
 		    (unsigned int)(x * 1000);
 }
 
-/* A URL without its last slashes; the clients append paths to it. */
+/* A URL without trailing slashes, since the clients append paths to it. */
 static void
 parse_url(struct walk *w, const yaml_node_t *node, char **out)
 {
@@ -378,7 +378,7 @@
 	parse_url(w, node, &((struct settings_walk *)arg)->s.weight_url);
 }
 
-/* The key's file may be named relative to the settings' own place. */
+/* A relative name is relative to the directory of the settings file. */
 static char *
 peer_key_read(const struct walk *w, const char *name, GError **error)
 {
@@ -430,7 +430,7 @@
 		    PEER_KEY_MIN, strlen(sw->s.peer_key));
 }
 
-/* Either a store, or a log with a VM list and a weight store. */
+/* Requires either a store, or a log with a VM list and a weight store. */
 static void
 check_platform(struct walk *w, yaml_node_t *node, void *arg)
 {
@@ -513,7 +513,7 @@
 	*s = sw.s;
 	if (!ok)
 		settings_finish(s);
-	log_debug("%s: %s", file, ok ? "settings are good" : "has findings");
+	log_debug("%s: %s", file, ok ? "settings are valid" : "has findings");
 	return ok;
 }
 
--- a/settings.h
+++ b/settings.h
@@ -22,14 +22,14 @@
 	struct endpoint caller;	   /* HTTP for callers */
 	struct endpoint control;   /* HTTP for the tool and peers */
 	struct endpoint peer;	   /* UDP between nodes */
-	struct endpoint ready;	   /* HTTP, readiness; with a store only */
-	struct endpoint directory; /* HTTP, which node to use; the same */
+	struct endpoint ready;	   /* HTTP, readiness; only with a store */
+	struct endpoint directory; /* HTTP, node selection; only with a store */
 	struct endpoint metrics;   /* HTTP, metrics and dump; port 0: none */
 	struct endpoint store;	   /* the platform's store; port 0: a log */
-	/* Nodes that may be there, by their `peer`; they may be stale. */
+	/* Peer addresses of nodes to try first; they may be out of date. */
 	struct endpoint seeds[SETTINGS_SEEDS_MAX];
 	unsigned int nseeds;
-	unsigned int seeds_port; /* in place of theirs; 0: none */
+	unsigned int seeds_port; /* replaces the seeds' ports; 0: none */
 	char *log_url;		 /* log service, without last / */
 	msec log_keeps;		 /* how long the log keeps records */
 	char *vm_list_url;
@@ -38,23 +38,23 @@
 	char log_level[16];
 	bool log_json;
 	char policy[16];    /* dispatch policy; "owner" */
-	msec stop_deadline; /* 0: waits for every answer */
-	msec leave_grace;   /* refuses after this, leaving */
-	msec keep_answers;  /* for callers that come back with a key */
+	msec stop_deadline; /* 0: wait for every answer */
+	msec leave_grace;   /* when leaving: time before refusing requests */
+	msec keep_answers;  /* for retries with an idempotency key */
 	unsigned int max_connections;
 	unsigned int max_body_bytes;
 	unsigned int caller_threads;
 	unsigned int engine_threads;
-	/* With a store: what the platform promises and asks. */
-	bool keys_fail_closed;	     /* a key taken away stops for sure */
-	msec keys_bound;	     /* within so long */
-	msec change_bound;	     /* a change is in force within so long */
-	msec rewrite;		     /* what the store lost is written again */
-	unsigned int retry_permille; /* retries for 1,000 requests */
-	unsigned int retry_fixed;    /* and so many of all nodes together */
+	/* With a store: the platform's guarantees and requirements. */
+	bool keys_fail_closed; /* refuse keys that may be revoked */
+	msec keys_bound;       /* longest time until a revoked key is refused */
+	msec change_bound;     /* longest time until a change is in force */
+	msec rewrite; /* longest time until lost entries are rewritten */
+	unsigned int retry_permille; /* retries allowed per 1,000 requests */
+	unsigned int retry_fixed;    /* plus so many for all nodes together */
 	msec retry_window;
-	/* Duties of one node at a time; port 0: there are none. */
-	struct endpoint duties; /* where their calls go */
+	/* Duties that one node at a time has; port 0: there are none. */
+	struct endpoint duties; /* address of their calls */
 	msec duty_lease;
 	msec usage_window; /* 0: usage is not reported */
 	msec usage_lateness;
@@ -64,10 +64,13 @@
 	char *tls_key;
 };
 
-/* As document_parse(). Defaults are set first. */
+/*
+ * Like document_parse(): True when there is no finding. Sets defaults first.
+ * Call settings_finish() in both cases.
+ */
 bool settings_parse(
     struct settings *, const char *, size_t, const char *, struct findings *);
-/* Read the file, then parse it; an unreadable file is a finding too. */
+/* Read and parse a file; an unreadable file is a finding too. */
 bool settings_load(struct settings *, const char *, struct findings *);
 void settings_finish(struct settings *);
 
--- a/tests/test-settings.c
+++ b/tests/test-settings.c
@@ -163,7 +163,7 @@
 	    "12:23 connections: expected a number from 1 to 65536, got 0\n"
 	    "12:38 body_bytes: expected a whole number, got \"many\"\n"
 	    "13:19 caller: expected a whole number, got text \"2\"\n"
-	    "13:24 \"caller\" stands twice in threads\n"
+	    "13:24 \"caller\" appears twice in threads\n"
 	    "14:15 format: expected one of text, json, got \"xml\"\n"
 	    "15:6 missing key \"certificate\" in tls\n");
 }
--- a/yaml-walk.c
+++ b/yaml-walk.c
@@ -1,7 +1,7 @@
 /*
- * YAML by schema; see yaml-walk.h. The text goes through libyaml twice: once
- * as events, which proves its bounds before anything is built from it, and
- * once as a document, whose nodes carry their places.
+ * Walks YAML by a schema; see yaml-walk.h. libyaml parses the text twice: once
+ * as events, to check the bounds before a document is allocated, and once as
+ * a document, whose nodes have their line and column.
  */
 
 #define LOG_PART "yaml"
@@ -13,7 +13,7 @@
 #include <stdlib.h>
 #include <string.h>
 
-/* An unknown key within so many edits of a known one gets a hint. */
+/* Largest edit distance to a known key that an unknown one gets a hint for. */
 #define WALK_HINT_EDITS 2
 
 struct walk {
@@ -21,10 +21,10 @@
 	const char *file;
 	struct findings found;
 	unsigned int visits;
-	bool dropped; /* a bound cut the findings or the walk short */
+	bool dropped; /* findings were dropped or the walk ended at a bound */
 };
 
-/* What the events of a file have come to. */
+/* Counts over the events of a file. */
 struct walk_tally {
 	unsigned int events;
 	unsigned int anchors;
@@ -118,7 +118,7 @@
 	return yaml_document_get_node(&w->doc, *item);
 }
 
-/* Number of edits (insert, remove, replace a byte) between two short words. */
+/* Levenshtein distance of two strings of at most NAME_LEN bytes. */
 static unsigned int
 word_distance(const char *a, const char *b)
 {
@@ -172,12 +172,13 @@
 	return NULL;
 }
 
-/* One more node seen. False when the whole walk has seen too many. */
+/* Count one more node. False when the walk has visited too many. */
 static bool
 walk_visit(struct walk *w, const yaml_node_t *node)
 {
 	if (w->visits >= WALK_VISITS_MAX) {
-		/* Said even when the findings are full: it ends the walk. */
+		/* Added even above WALK_FINDINGS_MAX, because it ends the walk.
+		 */
 		if (w->visits++ == WALK_VISITS_MAX)
 			findings_add(&w->found, w->file,
 			    node->start_mark.line + 1,
@@ -235,7 +236,7 @@
 	return node->data.scalar.style == YAML_PLAIN_SCALAR_STYLE;
 }
 
-/* Scalars may hold any byte by an escape; C strings may not. */
+/* Scalars may contain NUL bytes by an escape; C strings can't. */
 static bool
 scalar_is_string(const yaml_node_t *node)
 {
@@ -413,7 +414,7 @@
 		walk_scalar(w, f, node, base);
 }
 
-/* The field of a key; NULL, after a finding, when its value is not to use. */
+/* The field of a key; NULL, after a finding, when its value is ignored. */
 static const struct walk_field *
 walk_key(struct walk *w, const struct walk_schema *schema,
     const yaml_node_t *key, GHashTable *seen)
@@ -427,7 +428,7 @@
 		return NULL;
 	}
 	if (!g_hash_table_add(seen, (gpointer)walk_text(key))) {
-		walk_add(w, key, "\"%s\" stands twice in %s", walk_text(key),
+		walk_add(w, key, "\"%s\" appears twice in %s", walk_text(key),
 		    schema->what);
 		return NULL;
 	}
@@ -486,7 +487,7 @@
 		schema->check(w, node, base);
 }
 
-/* The characters that libyaml's reader lets through. */
+/* The characters that libyaml's reader accepts. */
 static bool
 char_is_allowed(gunichar c)
 {
@@ -496,7 +497,7 @@
 	       (c >= 0x10000 && c <= 0x10ffff);
 }
 
-/* One character that does not belong into a file: a finding. */
+/* Adds a finding for an invalid character. */
 static bool
 walk_char(struct walk *w, gunichar c, unsigned char byte, unsigned int line,
     unsigned int column)
@@ -513,8 +514,9 @@
 }
 
 /*
- * A copy of the text in which each bad byte or control character is a finding
- * and an "x", so that the walk goes on and finds the rest too.
+ * A copy of the text in which each invalid byte or control character is
+ * replaced by "x", after a finding, so that the walk also reports the errors
+ * behind it.
  */
 static GString *
 walk_clean(struct walk *w, const char *text, size_t len)
@@ -589,7 +591,7 @@
 		t->depth--;
 }
 
-/* Bounds on the events so far. False after a finding. */
+/* Checks the counts against the bounds. False after a finding. */
 static bool
 walk_bound(
     struct walk *w, const struct walk_tally *t, const yaml_event_t *event)
@@ -615,7 +617,7 @@
 	return false;
 }
 
-/* Run through the events. True when it is one document within the bounds. */
+/* Parses the events. True when they are one document within the bounds. */
 static bool
 walk_prove(struct walk *w, const char *text, size_t len)
 {
@@ -653,7 +655,7 @@
 	if (!walk_prove(w, text, len))
 		return;
 	walk_parser_init(&parser, text, len);
-	/* What only loading finds: undefined aliases, anchors defined twice. */
+	/* Only loading detects undefined aliases and duplicate anchors. */
 	if (!yaml_parser_load(&parser, &w->doc)) {
 		walk_syntax(w, &parser);
 		yaml_parser_delete(&parser);
@@ -677,7 +679,7 @@
 	return strcmp(x->text, y->text);
 }
 
-/* Hand the findings over in the order of the file. */
+/* Adds the findings to `out` in the order of the file. */
 static void
 walk_report(struct walk *w, struct findings *out)
 {
--- a/yaml-walk.h
+++ b/yaml-walk.h
@@ -1,8 +1,8 @@
 /*
- * A walker over a YAML file with a schema: it fills a struct and collects
- * every finding with its line, its column and what was expected there. A
- * finding ends neither the walk nor the map it stands in, so that one run
- * tells a person all there is to mend.
+ * Walks a YAML file by a schema: fills a struct and collects every finding
+ * with its line, its column and what was expected there. A finding ends
+ * neither the walk nor the map that contains it, so that one run reports all
+ * errors of the file.
  */
 
 #ifndef YAML_WALK_H
@@ -13,17 +13,17 @@
 #include <yaml.h>
 
 /*
- * Bounds on what one file may ask of the walker. An alias is followed like
- * the node it names, and counts again each time: the bound on visits is what
- * stops a few lines from standing for billions of nodes.
+ * Bounds on the work for one file. An alias is followed like the node it
+ * refers to, and counts again each time: the bound on visits stops a few
+ * lines of nested aliases from expanding to billions of nodes.
  */
 #define WALK_DEPTH_MAX 16
 #define WALK_VISITS_MAX 65536
 #define WALK_FINDINGS_MAX 200
-/* libyaml looks each anchor up among all, so their cost grows squared. */
+/* libyaml searches anchors linearly, so their cost is quadratic. */
 #define WALK_ANCHORS_MAX 256
 
-/* Room for one of the choices of a WALK_WORD field. */
+/* Size of a WALK_WORD field, including the NUL. */
 #define WALK_WORD_SIZE 16
 
 enum walk_type {
@@ -55,7 +55,7 @@
 };
 
 struct walk_schema {
-	const char *what;		 /* "a class", for the findings */
+	const char *what;		 /* name in findings: "a class" */
 	size_t size;			 /* of the struct, for lists */
 	const struct walk_field *fields; /* ends with a NULL key */
 	/* Checks over several fields, after they are filled; may be NULL. */
@@ -63,14 +63,15 @@
 };
 
 /*
- * Parse the text of at most `max` bytes and fill the struct, which holds the
- * defaults. True when nothing was found. Findings are added in the order of
- * the file. What was filled in belongs to the caller after either.
+ * Parse a text and fill the struct, which holds the defaults: schema, struct,
+ * text, its length, greatest length (bytes), file name, findings. True when
+ * there is no finding. Findings are added in the order of the file. The
+ * caller frees the filled fields in both cases.
  */
 bool walk_run(const struct walk_schema *, void *, const char *, size_t, size_t,
     const char *, struct findings *);
 
-/* For parse() and check(): a finding at a node. */
+/* For parse() and check(): add a finding at a node. */
 void walk_add(struct walk *, const yaml_node_t *, const char *, ...)
     __attribute__((format(printf, 3, 4)));
 /* The value of a key in a map, or NULL. */
@@ -79,7 +80,7 @@
 yaml_node_t *walk_item(struct walk *, const yaml_node_t *, unsigned int);
 /* The text of a scalar. */
 const char *walk_text(const yaml_node_t *);
-/* Name of the file that is walked. */
+/* Name of the walked file. */
 const char *walk_file(const struct walk *);
 
 #endif /* YAML_WALK_H */
