--- a/tests/test-answer.c
+++ b/tests/test-answer.c
@@ -1,6 +1,6 @@
 /*
- * The answer between an engine's thread and the caller's connection: what is
- * let in, and when the engine is held back.
+ * Tests the buffer of an answer between an engine's thread and the caller's
+ * connection: which bytes it accepts, and when it pauses the engine.
  */
 
 #include "daemon.h"
@@ -8,7 +8,7 @@
 #include <string.h>
 
 #define ATTEMPT 1
-/* One delivery of libcurl. */
+/* The largest block, in bytes, that libcurl passes to its write callback. */
 #define DELIVERY (16 * 1024)
 
 static unsigned int unpaused;
@@ -38,8 +38,9 @@
 }
 
 /*
- * One delivery is passed on in two parts where an event began in the delivery
- * before; the second was dropped when the first made the answer full.
+ * Guards against lost bytes: a block of libcurl is put into the answer in two
+ * parts if an event began in the block before. The second part was dropped when
+ * the first one filled the answer.
  */
 static void
 test_two_parts(void)
@@ -55,7 +56,8 @@
 	answer_finish(&a);
 }
 
-/* An engine that is not held back fills the memory for a slow reader. */
+/* Guards against an engine that fills the memory while its caller reads slowly.
+ */
 static void
 test_held_back(void)
 {
@@ -73,7 +75,7 @@
 	answer_finish(&a);
 }
 
-/* Bytes of an attempt that was given up mix with those of the next. */
+/* Guards against bytes of an abandoned attempt among those of the next one. */
 static void
 test_old_attempt(void)
 {
--- a/tests/test-relay.c
+++ b/tests/test-relay.c
@@ -1,7 +1,8 @@
 /*
- * Proofs of the newest state passed from node to node. What a user would see
- * when it goes wrong: a key that was taken away still works, since a node took
- * another's old knowledge for new; or a change that some nodes never hear of.
+ * Tests relay.c, by which nodes confirm to each other that their configuration
+ * and list of servers are current. Guards against revoked keys that still work,
+ * since a node accepted an outdated confirmation, and against changes that some
+ * nodes never receive.
  */
 
 #include "relay.h"
@@ -14,15 +15,15 @@
 
 struct world;
 
-/* One node, with what its source would say. */
+/* A simulated node. */
 struct node {
 	struct relay relay;
 	struct world *world;
-	uint64_t mark; /* in force */
+	uint64_t mark; /* version in force here */
 	msec proven;
 	unsigned int reads, looks;
-	bool cut;  /* hears and says nothing */
-	bool away; /* the platform turns it away */
+	bool cut;  /* cut off from the other nodes */
+	bool away; /* the platform refuses its reads */
 	unsigned int turned_away;
 };
 
@@ -34,7 +35,7 @@
 struct world {
 	struct node nodes[LARGE_NODES];
 	unsigned int n;
-	uint64_t newest; /* at the platform */
+	uint64_t newest; /* version at the platform */
 	msec now;
 	GQueue mail;
 };
@@ -138,7 +139,7 @@
 	}
 }
 
-/* Time passes; nodes read when it is due. */
+/* Lets `ms` milliseconds pass; nodes read from the platform when due. */
 static void
 world_run(struct world *w, msec ms)
 {
@@ -176,7 +177,7 @@
 	return world_find(w, w->nodes[0].relay.reader);
 }
 
-/* One reads less than twice a second, and all know that they are up to date. */
+/* One node reads less than twice a second, and all have recent proofs. */
 static void
 test_one_reads(void)
 {
@@ -195,7 +196,7 @@
 	g_assert_cmpuint(world_reads(&w) - before, >=, 15);
 }
 
-/* A change is in force everywhere soon after the reader has read it. */
+/* A change is in force at all nodes soon after the reader has read it. */
 static void
 test_change(void)
 {
@@ -211,8 +212,8 @@
 }
 
 /*
- * The reader is cut off. The others read by themselves before what they know
- * grows old, and go on so until the live nodes change.
+ * Guards against nodes that depend on a reader that is cut off. They must read
+ * from the platform before their proofs grow old.
  */
 static void
 test_reader_cut(void)
@@ -235,8 +236,9 @@
 }
 
 /*
- * A key was taken away while a node slept with a question in flight. The
- * answer, given before, is read when it wakes: it proves only the past.
+ * Guards against a revoked key that still works: a paused node receives an
+ * answer that was sent before the key was revoked. The answer must not prove
+ * that the node's state is current.
  */
 static void
 test_answer_that_waited(void)
@@ -259,7 +261,7 @@
 	g_assert_cmpint(relay_due(&v->relay, w.now, RELAY_TABLE), ==, 0);
 }
 
-/* One that goes by another version takes no proof from it, and reads. */
+/* An answer with another version proves nothing and makes the node read. */
 static void
 test_other_mark(void)
 {
@@ -286,8 +288,8 @@
 }
 
 /*
- * A configuration that nobody can read is no reason to ask without a pause,
- * nor does it prove anything.
+ * Guards against reads without a pause while the configuration at the platform
+ * cannot be parsed.
  */
 static void
 test_in_vain(void)
@@ -301,7 +303,7 @@
 	g_assert_cmpint(relay_due(&v->relay, w.now, RELAY_TABLE), >=, 100);
 }
 
-/* Nodes of many groups ask different readers. */
+/* A large fleet is divided into groups with different readers. */
 static void
 test_groups(void)
 {
@@ -326,9 +328,9 @@
 }
 
 /*
- * Half of 82 nodes called the platform every one and a half seconds for each
- * subject, the whole day: the node that they asked was of another group, asked
- * that group's reader itself, and what it knew was too old to pass on.
+ * Guards against needless reads: of 82 nodes, half called the platform every
+ * 1.5 s for each subject. The node that they polled belonged to another group
+ * and polled that group's reader itself, so its proofs were too old to pass on.
  */
 static void
 test_groups_read(void)
@@ -340,7 +342,7 @@
 	world_run(&w, 3000);
 	before = world_reads(&w);
 	world_run(&w, 10000);
-	/* Three groups, a reader each. */
+	/* Three groups with a reader each. */
 	g_assert_cmpuint(world_reads(&w) - before, >=, 45);
 	g_assert_cmpuint(world_reads(&w) - before, <=, 54);
 	for (i = 0; i < w.n; i++)
@@ -348,9 +350,10 @@
 }
 
 /*
- * The platform turns some nodes away for eight seconds and serves the others.
- * Those that were turned away called it three times a second for each subject,
- * although the reader told them all the while that nothing was new.
+ * Guards against needless retries: while the platform refused some nodes for
+ * 8 s and served the others, the refused ones called it three times a second
+ * for each subject, although the reader kept confirming that nothing had
+ * changed.
  */
 static void
 test_turned_away_by_platform(void)
@@ -370,7 +373,7 @@
 	}
 }
 
-/* Calls to a platform that is away for a node that hears of nobody else. */
+/* Limits the retries of a lone node while the platform is unavailable. */
 static void
 test_retries(void)
 {
@@ -379,7 +382,7 @@
 	unsigned int n = 0;
 
 	relay_init(&r, &node_ops, 1, EVERY);
-	/* Before the first read it is in a hurry. */
+	/* Before the first successful read, the node retries sooner. */
 	relay_read_failed(&r, now, RELAY_TABLE);
 	relay_read_failed(&r, now, RELAY_TABLE);
 	wait = relay_due(&r, now, RELAY_TABLE);
@@ -393,14 +396,14 @@
 	}
 	g_assert_cmpuint(n, <=, 18);
 	g_assert_cmpint(most, <=, EVERY * 12 / 10);
-	/* One that comes through ends it. */
+	/* A successful read ends the retries. */
 	relay_read(&r, now, RELAY_TABLE, 1, now);
 	g_assert_cmpint(relay_due(&r, now, RELAY_TABLE), ==, EVERY * 60 / 100);
 }
 
 /*
- * Guards against a group of which each node reads for itself, for as long as
- * the platform turns its reader away: a third of the nodes, for nine seconds.
+ * Guards against a group in which every node reads by itself while the platform
+ * refuses the group's reader (here with a third of the nodes, for 9 s).
  */
 static void
 test_reader_turned_away(void)
@@ -423,10 +426,10 @@
 	}
 	for (i = 0; i < w.n; i++)
 		away += w.nodes[i].turned_away;
-	/* Three rounds of all until one that can read is asked; then it. */
+	/* Up to three rounds of all nodes until they poll one that can read. */
 	g_assert_cmpuint(world_reads(&w) - before, <=, 3 * w.n + 18);
 	g_assert_cmpuint(away, <=, 4 * w.n);
-	/* The platform takes it again: it reads, and nobody else. */
+	/* When the platform accepts the reader again, only the reader reads. */
 	for (i = 0; i < w.n; i++)
 		w.nodes[i].away = false;
 	world_run(&w, 30000);
@@ -436,8 +439,8 @@
 }
 
 /*
- * Guards against a proof from before the platform lost records, told or heard
- * after it: nothing proves anything until each node has read anew.
+ * Guards against a proof from before the platform lost records that is sent or
+ * accepted afterwards: no proof counts until each node has read again.
  */
 static void
 test_forget(void)
--- a/tests/test-request.c
+++ b/tests/test-request.c
@@ -1,6 +1,6 @@
 /*
- * The request's state machine: its outcomes must be true whatever happens to
- * its attempts, in whatever order.
+ * Tests the state machine of requests: the reported outcome must be true for
+ * any order of events of the attempts.
  */
 
 #include "request.h"
@@ -12,15 +12,16 @@
 #define RANDOM_SEED 20261202
 #define WHOLE_TOKENS 8
 
-/* One request with the truth about it, as the backend servers know it. */
+/* A request, and what really happened to it at the backend servers. */
 struct probe {
 	struct request request;
-	unsigned int executions; /* a backend server began to run it */
-	unsigned int live;	 /* attempt that a backend server works on */
-	unsigned int stale;	 /* attempt stopped, its end still to come */
-	unsigned int delivered;	 /* tokens passed to the caller, in order */
+	unsigned int
+	    executions;	    /* times that a backend server began to run it */
+	unsigned int live;  /* attempt that a backend server works on */
+	unsigned int stale; /* attempt stopped, its end still to come */
+	unsigned int delivered; /* tokens passed to the caller, in order */
 	unsigned int finishes;
-	bool waiting; /* with dispatch */
+	bool waiting; /* queued in dispatch */
 	bool slot;    /* a slot is held */
 	bool whole;   /* an attempt ended with the whole answer */
 };
@@ -78,7 +79,7 @@
 	p->slot = false;
 }
 
-/* Every promise about the outcome is checked here. */
+/* Checks the outcome against what really happened. */
 static void
 probe_finish(struct request *r, msec now)
 {
@@ -146,9 +147,8 @@
 }
 
 /*
- * A booking is sent to a server that reads it and closes the connection. The
- * caller must not hear "not run", for the booking may be made; and nobody may
- * send it again.
+ * A server reads a booking and closes the connection. The outcome must not be
+ * "not run", since the booking may have been made, and it must not be retried.
  */
 static void
 test_booking_read_then_closed(void)
@@ -166,9 +166,9 @@
 }
 
 /*
- * The server's port is closed: the connection is refused before a byte is
- * written. The booking certainly did not run, so another server may get it,
- * and when all refuse the caller hears "not run".
+ * Servers refuse the connection before a byte is written. The booking did not
+ * run, so it may be sent to another server; if all refuse, the outcome is
+ * "not run".
  */
 static void
 test_booking_refused(void)
@@ -188,8 +188,8 @@
 }
 
 /*
- * An engine crashes after three tokens of a re-plan. The caller sees the
- * stream go on at the fourth token, from another engine.
+ * An engine crashes after three tokens of an answer. The stream must continue
+ * at the fourth token, from another engine.
  */
 static void
 test_crash_mid_answer(void)
@@ -211,8 +211,9 @@
 }
 
 /*
- * The same crash where engines cannot resume: the stream ends visibly
- * broken and "unknown", instead of a second wording glued to the first.
+ * The same crash where engines cannot resume: the stream must end as broken
+ * with the outcome "unknown", and not continue with another engine's different
+ * text.
  */
 static void
 test_crash_not_resumable(void)
@@ -231,8 +232,8 @@
 }
 
 /*
- * Every engine fails at once. Without a budget each request would be tried
- * four times and the engines would get four times the load that broke them.
+ * Guards against retries that multiply an overload: if all engines fail at
+ * once, each request would be tried four times without a budget.
  */
 static void
 test_retry_budget(void)
@@ -256,8 +257,8 @@
 }
 
 /*
- * A stopped attempt's answer comes late, when another attempt has taken its
- * place: it is counted and dropped, and cannot end the new one.
+ * Guards against a late end of a stopped attempt that ends the attempt after
+ * it: it must be counted and dropped.
  */
 static void
 test_late_end(void)
@@ -278,7 +279,7 @@
 	g_assert_cmpint(p.request.outcome, ==, REQUEST_RAN);
 }
 
-/* One random thing happens to the request. */
+/* Applies one random event to the request. */
 static void
 probe_step(struct probe *p, GRand *rng)
 {
@@ -321,7 +322,7 @@
 			probe_run(p, WHOLE_TOKENS, ATTEMPT_WHOLE);
 		break;
 	case 9:
-		/* Ends of attempts that are over, late and doubled. */
+		/* Late, repeated and wrong reports of other attempts. */
 		request_ended(r, 0, attempt + 1, ATTEMPT_WHOLE, 99);
 		if (attempt > 1)
 			request_ended(r, 0, attempt - 1, ATTEMPT_BROKEN, 1);
@@ -330,7 +331,8 @@
 	case 10:
 		if (g_rand_int_range(rng, 0, 10) != 0)
 			break;
-		/* A server may run what the caller no longer waits for. */
+		/* The server may run the request although the caller has left.
+		 */
 		if (p->slot)
 			p->executions++;
 		p->waiting = false;
@@ -343,7 +345,7 @@
 	}
 }
 
-/* Over a million random events on requests of all kinds, seeded. */
+/* Applies RANDOM_EVENTS random events to requests of all kinds. */
 static void
 test_random(void)
 {
--- a/tests/test-retry-budget.c
+++ b/tests/test-retry-budget.c
@@ -1,6 +1,7 @@
 /*
- * The shared allowance of retries: over any window the sum of all nodes stays
- * within it, also when nodes join that the others have not heard of.
+ * Tests the retry budget that all nodes share: over any window the retries of
+ * all nodes together stay within it, also while the older nodes do not count
+ * nodes that have just joined.
  */
 
 #include "retry-budget.h"
@@ -16,9 +17,9 @@
 #define STEP_MS 10
 
 /*
- * Servers fail half of their requests, and every node wants to send each
- * failed one again at once. Then the number of nodes doubles, and the old
- * ones do not know it yet.
+ * Guards against more retries than the budget allows: nodes retry as often as
+ * they may, and the number of nodes doubles 15 s before the old nodes count the
+ * new ones.
  */
 static void
 test_sum(void)
@@ -42,7 +43,7 @@
 			took[t] += retry_budget_take(
 			    &b[i], &config, now, i < 8 ? known : 16);
 		}
-		/* Any window that ends here. */
+		/* The window that ends at this step. */
 		retries = requests = 0;
 		for (j = t >= WINDOW / STEP_MS ? t - WINDOW / STEP_MS + 1 : 0;
 		     j <= t; j++) {
@@ -51,11 +52,14 @@
 		}
 		g_assert_cmpuint(retries, <=, requests * 200 / 1000 + 56);
 	}
-	/* It is of use, too: most of the fraction is spent. */
+	/* The budget must not be far too strict either. */
 	g_assert_cmpuint(retries, >, requests * 150 / 1000);
 }
 
-/* A node that has just started does not know what it used before. */
+/*
+ * Guards against a restarted node that exceeds the budget: it does not know the
+ * retries that it used before, so it must not retry for a whole window.
+ */
 static void
 test_start(void)
 {
--- a/tests/test-route.c
+++ b/tests/test-route.c
@@ -1,6 +1,7 @@
 /*
- * Routing tables: the longest prefix wins, keys belong to one organisation,
- * shares of a split are kept, and ranks at a server never turn round.
+ * Tests routing tables: the longest prefix wins, a key belongs to one
+ * organisation, the weights of a split are kept, and ranks at a server follow
+ * the order of priorities.
  */
 
 #include "route.h"
@@ -98,9 +99,10 @@
 }
 
 /*
- * Servers short of memory put back the least urgent first, by the rank that
- * we send. With ranks in another order than the kinds of request, an urgent
- * stream was put back while others ran on.
+ * Guards against the preemption of urgent streams. A server short of memory
+ * preempts the least urgent streams first, by the rank that the node sends.
+ * With ranks in another order than the routes' priorities, an urgent stream was
+ * preempted while less urgent ones ran on.
  */
 static void
 test_rank(void)
@@ -123,7 +125,8 @@
 	route_table_drop(t);
 }
 
-/* More pairs of priorities than ranks: the order stays, some share one. */
+/* With more pairs of priorities than ranks, some pairs share a rank in order.
+ */
 static void
 test_rank_many(void)
 {
--- a/tests/test-server-limit.c
+++ b/tests/test-server-limit.c
@@ -1,5 +1,6 @@
 /*
- * How much may be read before a request, learned from how others fared.
+ * Tests the limit on the queued prompt work ahead of a request, which is
+ * learned from how many earlier requests were late.
  */
 
 #include "server-limit.h"
@@ -13,7 +14,7 @@
 		server_limit_learn(l, i % (in_time + late) < late, true);
 }
 
-/* Before anything is known: a quarter of the target, for the last tier. */
+/* Before any result, the limit of the last tier is a quarter of its target. */
 static void
 test_start(void)
 {
@@ -24,8 +25,8 @@
 }
 
 /*
- * Servers that do all in time: requests are let in up to their whole target
- * after a second of usual traffic, and never beyond it.
+ * If all requests are in time, the limit rises to the whole target after about
+ * a second of usual traffic, and never beyond it.
  */
 static void
 test_room(void)
@@ -39,9 +40,9 @@
 }
 
 /*
- * Servers whose streams pause beside the reading: all that are let in end
- * late. Some late ones are enough to let fewer in, and it never ends with
- * nobody let in, as then nothing would be learned any more.
+ * Servers on which prompt processing pauses running streams, so that all
+ * admitted requests are late. A few late ones must lower the limit, but never
+ * so far that nothing is admitted, since then the limit could not recover.
  */
 static void
 test_harm(void)
@@ -53,17 +54,18 @@
 	g_assert_cmpint(server_limit_ms(&l, 1000, true), <=, 125);
 	fared(&l, 0, 1000);
 	g_assert_cmpint(server_limit_ms(&l, 1000, true), >=, 100);
-	/* The more urgent are not turned away for it. */
+	/* More urgent requests keep their limit. */
 	g_assert_cmpint(server_limit_ms(&l, 1000, false), ==, 1000);
-	/* It passes. */
+	/* The limit recovers. */
 	fared(&l, 100, 0);
 	g_assert_cmpint(server_limit_ms(&l, 1000, true), ==, 1000);
 }
 
 /*
- * A quiet morning, then all come at once. When the limit had risen with every
- * request that was in time, the burst's first seconds were let in whole, and
- * nearly all of these streams were cut off at their deadline.
+ * Guards against a limit that rises under low load. When every request in time
+ * raised it, all requests of the first seconds of a later burst were admitted,
+ * and nearly all of these streams were cut off at their deadline. Only requests
+ * near the limit may raise it.
  */
 static void
 test_quiet_says_nothing(void)
@@ -79,7 +81,7 @@
 	g_assert_false(server_limit_is_near(1000, 0));
 }
 
-/* One late in thirty is no reason; one late in four is. */
+/* One late request in 30 does not lower the limit; one in four does. */
 static void
 test_balance(void)
 {
@@ -94,7 +96,7 @@
 	g_assert_cmpint(server_limit_ms(&many, 1000, true), <=, 200);
 }
 
-/* No target is so short that nothing may be ahead: 0 would mean "any". */
+/* The limit is at least 1 ms even for the shortest target: 0 means no limit. */
 static void
 test_short(void)
 {
@@ -105,9 +107,9 @@
 }
 
 /*
- * What coordinators did a moment ago is done to as large a part of those of
- * whom none says anything: to nobody when nothing was told, nor when that is
- * long ago, and no single answer turns the rest.
+ * Requests for which no coordinator answers are refused in the same proportion
+ * as coordinators have refused others lately: none without answers or if the
+ * last answer is old, and a single answer does not change the proportion much.
  */
 static void
 test_told(void)
@@ -117,7 +119,7 @@
 	unsigned int i;
 
 	g_assert_false(server_told_away(&t, now, 0));
-	/* Three of four, each 20 ms. */
+	/* Three of four answers are refusals, one answer each 20 ms. */
 	for (i = 0; i < 400; i++, now += 20)
 		server_told_note(&t, now, i % 4 != 0, 900, 800, 300);
 	g_assert_true(server_told_away(&t, now, 0.65));
@@ -128,7 +130,7 @@
 	g_assert_cmpint(t.limit, ==, 300);
 	g_assert_true(server_told_away(&t, now + 2900, 0.65));
 	g_assert_false(server_told_away(&t, now + 3100, 0.65));
-	/* After a pause the first answer says it all. */
+	/* After a pause, the first answer alone sets the proportion. */
 	now += 10000;
 	server_told_note(&t, now, false, 10, 5, 300);
 	g_assert_false(server_told_away(&t, now, 0));
--- a/tests/test-server-mix.c
+++ b/tests/test-server-mix.c
@@ -1,5 +1,6 @@
 /*
- * Which kinds of request are light, and how many servers are left to them.
+ * Tests which routes count as light, and how many servers are kept for light
+ * requests ("quiet servers").
  */
 
 #include "server-mix.h"
@@ -35,9 +36,9 @@
 }
 
 /*
- * Feedback for pilots (700 tokens) beside notes (2,400) and reports (9,200).
- * The notes went to the quiet servers too, and where servers read slowly each
- * of them broke the pauses of the feedback there.
+ * Guards against medium prompts on quiet servers. With prompts of 700, 2,400
+ * and 9,200 tokens, those of 2,400 went there too, and on servers that process
+ * prompts slowly each one paused the light streams beyond the allowed pause.
  */
 static void
 test_quarter(void)
@@ -54,7 +55,7 @@
 	g_assert_false(mix_is_light(&m, MIDDLE));
 }
 
-/* A kind near the bound does not go to and fro with every prompt. */
+/* Guards against a route near the bound that alternates with each prompt. */
 static void
 test_steady(void)
 {
@@ -65,7 +66,7 @@
 	traffic(&m, 100);
 	was = mix_is_light(&m, SHORT);
 	for (i = 0; i < 2000; i++) {
-		/* Between 0.16 and 0.2 of the longest on average. */
+		/* The short prompts are 0.16 and 0.2 of the longest. */
 		mix_request(&m, 0, LONG, 1000, 2, 17000);
 		mix_request(&m, 0, SHORT, 250, 0, i / 40 % 2 ? 3400 : 2720);
 		light = mix_is_light(&m, SHORT);
@@ -76,8 +77,9 @@
 }
 
 /*
- * One caller states that its prompt has 4 billion tokens. The notes beside it
- * looked light for some hundred requests, and went to the quiet servers.
+ * Guards against a false prompt size. After one caller had stated 4 billion
+ * tokens, medium prompts counted as light for some hundred requests and went to
+ * the quiet servers.
  */
 static void
 test_false_size(void)
@@ -91,18 +93,18 @@
 	}
 	mix_request(&m, 0, LONG, 600, 2, G_MAXUINT);
 	g_assert_false(mix_is_light(&m, MIDDLE));
-	/* A kind that has grown is followed all the same. */
+	/* The average still follows prompts that become longer for good. */
 	for (i = 0; i < 300; i++)
 		mix_request(&m, 0, LONG, 600, 2, 90000);
 	g_assert_cmpfloat(m.routes[0].prompt_tokens, >, 80000);
-	/* So is one that began with a prompt of nothing. */
+	/* It also follows when the first prompt was empty. */
 	m = (struct mix){ 0 };
 	for (i = 0; i < 600; i++)
 		mix_request(&m, 0, LONG, 600, 2, i == 0 ? 0 : 9200);
 	g_assert_cmpfloat(m.routes[0].prompt_tokens, >, 8000);
 }
 
-/* Nobody is light where all are alike, or where no longer pause is allowed. */
+/* No route is light if there is only one, or if all allow the same pause. */
 static void
 test_alone(void)
 {
@@ -115,7 +117,7 @@
 	g_assert_cmpuint(mix_quiet_servers(&m, 0, 1, 18, 64), ==, 0);
 }
 
-/* The last tier is the least urgent kind's, and kinds as urgent as it. */
+/* The last tier consists of all routes with the least urgent priority. */
 static void
 test_last_tier(void)
 {
@@ -132,9 +134,10 @@
 }
 
 /*
- * Servers of many slots: driver questions shared two of them, 25 streams on
- * each, and the prompt of each made 24 others pause. Slots say how many may
- * run, not how many read beside each other without harm.
+ * Guards against too few quiet servers where servers have many slots: 50 light
+ * streams shared two servers, so each new prompt paused 24 others. The number
+ * of slots limits how many streams run, not how many prompts can be processed
+ * beside them without harm.
  */
 static void
 test_many_slots(void)
@@ -147,11 +150,11 @@
 		mix_started(&m, 0, SHORT);
 	g_assert_cmpuint(mix_quiet_servers(&m, 20000, 1, 18, 64), ==, 4);
 	g_assert_cmpuint(mix_quiet_servers(&m, 20000, 1, 18, 512), ==, 4);
-	/* Few slots bind first. */
+	/* With few slots, the slots are the limit. */
 	g_assert_cmpuint(mix_quiet_servers(&m, 20000, 1, 90, 12), ==, 11);
 }
 
-/* A burst is followed within two seconds, and given back after it. */
+/* Quiet servers are added within 2 s of a burst and released after it. */
 static void
 test_burst(void)
 {
@@ -165,7 +168,7 @@
 	for (i = 0; i < 80; i++)
 		mix_started(&m, 10000, SHORT);
 	g_assert_cmpuint(mix_quiet_servers(&m, 12000, 1, 18, 64), >=, 5);
-	/* Never more than a third. */
+	/* At most a third of the servers are quiet. */
 	for (i = 0; i < 800; i++)
 		mix_started(&m, 12000, SHORT);
 	g_assert_cmpuint(mix_quiet_servers(&m, 20000, 1, 18, 64), ==, 6);
@@ -174,7 +177,7 @@
 	g_assert_cmpuint(mix_quiet_servers(&m, 32000, 1, 18, 64), ==, 1);
 }
 
-/* How long one is on its server is known from the first, and followed. */
+/* The hold time is set by the first request and then follows the others. */
 static void
 test_held(void)
 {
