--- a/tests/test-capacity.c
+++ b/tests/test-capacity.c
@@ -1,10 +1,10 @@
 /*
- * How many servers are ordered. What a user would see when it goes wrong: too
- * few servers are there when load rises or a failure domain's are taken back,
- * or dear ones stand idle.
+ * Tests how many servers are ordered. Guards against too few servers when load
+ * rises or the platform reclaims those of a failure domain, and against
+ * expensive servers that stay idle.
  *
- * A platform in virtual time carries the orders out: servers boot, are taken
- * back, are not to be had; answers are lost and orders come out late.
+ * A simulated platform executes the orders in virtual time: servers boot, are
+ * reclaimed or are unavailable; replies get lost and orders take effect late.
  */
 
 #include "capacity.h"
@@ -24,24 +24,25 @@
 	enum capacity_kind kind;
 };
 
-/* Servers of a kind in a domain, as the platform has them. */
+/* The platform's servers of one kind in one domain. */
 struct site {
-	unsigned int ready, booting[BOOT / STEP + 1]; /* by step from now */
-	msec none_until;			      /* none are to be had */
+	unsigned int ready, booting[BOOT / STEP + 1]; /* by steps until ready */
+	msec none_until; /* no new server until then */
 };
 
 struct world {
 	struct capacity c;
 	struct site sites[DOMAINS][CAPACITY_KINDS];
 	msec now;
-	unsigned int visible; /* servers that are known, of each domain */
+	unsigned int
+	    visible; /* known servers of each kind in a domain, at most */
 	uint64_t requests;
-	double tokens, urgent; /* so far */
+	double tokens, urgent; /* total so far */
 	GQueue late;
 	GRand *rand;
 	unsigned int lose_percent, orders;
-	unsigned int changed; /* servers that orders made come or go */
-	bool silent;	      /* coordinators say nothing */
+	unsigned int changed; /* servers added or removed by orders */
+	bool silent;	      /* coordinators report no demand */
 	bool reading;	      /* not all servers are known yet */
 };
 
@@ -225,7 +226,7 @@
 	return n;
 }
 
-/* The fewest servers that were ready while it ran. */
+/* Returns the smallest number of ready servers during the run. */
 static unsigned int
 world_run(
     struct world *w, msec span, double tokens_per_ms, unsigned int running)
@@ -241,7 +242,7 @@
 	return least;
 }
 
-/* Guards against a fleet that shrinks while its dear servers are replaced. */
+/* Guards against a fleet that shrinks while lasting servers are replaced. */
 static void
 test_replace_lasting(void)
 {
@@ -254,7 +255,10 @@
 	world_finish(&w);
 }
 
-/* Guards against a fleet that has just started and is taken for a small one. */
+/*
+ * Guards against a reduced fleet after a start, when the holder discovers the
+ * servers one by one.
+ */
 static void
 test_known_one_by_one(void)
 {
@@ -267,7 +271,7 @@
 	world_finish(&w);
 }
 
-/* Guards against thousands of changes at once, of which all nodes must hear. */
+/* Guards against thousands of changes at once, which all nodes must receive. */
 static void
 test_large_fleet(void)
 {
@@ -287,7 +291,10 @@
 	world_finish(&w);
 }
 
-/* Guards against a new holder that knows few servers and orders a few more. */
+/*
+ * Guards against a new holder that orders by the few servers it has read so
+ * far.
+ */
 static void
 test_new_holder_reads(void)
 {
@@ -306,7 +313,7 @@
 	world_finish(&w);
 }
 
-/* Guards against too few servers when all of a domain are taken back. */
+/* Guards against too few servers when all of a domain are reclaimed. */
 static void
 test_domain_taken_back(void)
 {
@@ -327,7 +334,7 @@
 	world_finish(&w);
 }
 
-/* Guards against orders that go to and fro while a domain has none left. */
+/* Guards against oscillating orders while a domain has no servers available. */
 static void
 test_none_left(void)
 {
@@ -341,13 +348,12 @@
 	w.sites[2][CAPACITY_RECLAIMABLE].none_until = w.now + 20000;
 	orders = w.orders;
 	world_run(&w, 20000, 1400, 200);
-	/* One try in 2.5 s where there are none, and one change elsewhere. */
+	/* One try per 2.5 s in the empty domain, and one change per domain. */
 	g_assert_cmpuint(w.orders - orders, <=, 20000 / 2500 + 1 + DOMAINS);
 	world_finish(&w);
 }
 
-/* Guards against load that cannot be served at all, as no cheap ones are had.
- */
+/* Guards against unserved load when no reclaimable servers are available. */
 static void
 test_all_taken_back(void)
 {
@@ -368,7 +374,7 @@
 	world_finish(&w);
 }
 
-/* Guards against an order that comes late, twice or never. */
+/* Guards against orders that take effect late, twice or never. */
 static void
 test_lost_answers(void)
 {
@@ -388,7 +394,7 @@
 	world_finish(&w);
 }
 
-/* Guards against servers that are taken away while nothing is known. */
+/* Guards against a reduced fleet while no demand is reported. */
 static void
 test_silence(void)
 {
@@ -407,7 +413,7 @@
 	world_finish(&w);
 }
 
-/* Guards against load that doubles and waits for a decision. */
+/* Guards against a slow reaction when the load doubles. */
 static void
 test_rise(void)
 {
@@ -424,7 +430,7 @@
 	world_finish(&w);
 }
 
-/* Guards against a fleet that follows each valley between two peaks. */
+/* Guards against a fleet that shrinks between peaks in quick succession. */
 static void
 test_wave(void)
 {
@@ -445,7 +451,10 @@
 	world_finish(&w);
 }
 
-/* Guards against a new holder that takes what it finds for all there was. */
+/*
+ * Guards against a new holder that reduces the fleet to the servers it finds
+ * after the loss of a domain.
+ */
 static void
 test_new_holder(void)
 {
@@ -464,7 +473,7 @@
 	world_finish(&w);
 }
 
-/* Guards against a service of lasting servers only that is not carried. */
+/* Guards against a wrong fleet for a service with lasting servers only. */
 static void
 test_lasting_only(void)
 {
@@ -479,7 +488,7 @@
 	world_finish(&w);
 }
 
-/* Guards against a demand that cannot be: it would order all there is. */
+/* Guards against impossible demand reports, which would order all servers. */
 static void
 test_wrong_demand(void)
 {
--- a/tests/test-place-changes.c
+++ b/tests/test-place-changes.c
@@ -1,7 +1,7 @@
 /*
- * Placement on a fleet of servers that is ordered by the dozen. What a user
- * would see when it goes wrong: long prompts are read again each time that
- * servers come or go, and everything beside them is late.
+ * Tests the choice of servers while dozens of servers are added or removed.
+ * Guards against long prompts that have to be processed again after each such
+ * change, which delays all other requests on these servers.
  */
 
 #include "place.h"
@@ -14,7 +14,7 @@
 #define FEW 60
 #define MANY 90
 #define MOST 120
-/* What drawing 300 prompts may be off by. */
+/* Tolerance for the random sample of 300 prompts. */
 #define DRAWN 0.05
 #define DRAWS 10000
 
@@ -94,7 +94,10 @@
 	g_rand_free(w->rand);
 }
 
-/* Each prompt once; the part of shared tokens that had been read before. */
+/*
+ * Sends each prompt once; returns the part of the shared tokens that went to a
+ * server which had processed them before.
+ */
 static double
 world_kept(struct world *w)
 {
@@ -121,7 +124,7 @@
 	return (double)kept / (double)(tokens - (uint64_t)PROMPTS * OWN);
 }
 
-/* A coordinator that has heard of all for a while trusts what it knows. */
+/* Sends all prompts until the coordinator's records are complete. */
 static void
 world_warm(struct world *w)
 {
@@ -131,7 +134,7 @@
 		world_kept(w);
 }
 
-/* Where weighted rendezvous hashing has a prompt with such draws. */
+/* The group that weighted rendezvous hashing gives for these draws. */
 static unsigned int
 group_of(const double *sizes, const double *draws, unsigned int groups)
 {
@@ -144,7 +147,7 @@
 	return best;
 }
 
-/* The part of prompts that change their group as sizes change. */
+/* The part of prompts whose group changes with the sizes of the groups. */
 static double
 groups_uneven(struct world *w, unsigned int from, unsigned int to)
 {
@@ -183,7 +186,7 @@
 	    after, >=, before - groups_uneven(w, FEW, MANY) - DRAWN);
 }
 
-/* Guards against prompts that are read again when half as many servers come. */
+/* Guards against prompts processed again when the fleet grows by half. */
 static void
 test_servers_come(void)
 {
@@ -195,7 +198,9 @@
 	world_finish(&w);
 }
 
-/* Guards against a new server that is taken for one that has read its prompts.
+/*
+ * The same with a coordinator that has seen each prompt only once: it must not
+ * assume that new servers have processed prompts.
  */
 static void
 test_servers_come_to_young(void)
@@ -208,7 +213,10 @@
 	world_finish(&w);
 }
 
-/* Guards against more being read again than the servers that went had read. */
+/*
+ * Guards against more repeated processing than for the prompts of the removed
+ * servers.
+ */
 static void
 test_servers_go(void)
 {
@@ -226,7 +234,7 @@
 	world_finish(&w);
 }
 
-/* Guards against groups too small to choose from when few servers are there. */
+/* Guards against groups with too few servers in a small fleet. */
 static void
 test_few_servers(void)
 {
@@ -235,7 +243,7 @@
 	world_init(&w, MOST);
 	servers_to(&w, 3);
 	world_kept(&w);
-	/* Nearly all pairs of server and prompt are remembered. */
+	/* Nearly all pairs of server and prompt are stored. */
 	g_assert_cmpfloat(world_kept(&w), >=, 0.95);
 	world_finish(&w);
 }
--- a/tests/test-placement.c
+++ b/tests/test-placement.c
@@ -1,6 +1,7 @@
 /*
- * Placement: how a change of models rolls over engines that load slowly,
- * fail, forget orders or leave, and what a new lease holder finds.
+ * Tests placement.c, which orders engines to load and drop models (place.c
+ * chooses the server of a request): the rollout of a new version over engines
+ * that load slowly, fail or lose orders, and over a change of the lease holder.
  */
 
 #include "placement.h"
@@ -11,13 +12,13 @@
 #define LOAD_MS 4000
 #define STEP_MS 200
 
-/* One fake engine, as far as placement sees it. */
+/* A fake engine, with the state that it reports to placement. */
 struct fake {
 	struct placement_model has[PLACEMENT_MODELS_MAX];
 	unsigned int nhas;
 	msec ready_at[PLACEMENT_MODELS_MAX];
-	bool fails; /* loads of the version "bad" end failed */
-	bool deaf;  /* orders are lost */
+	bool fails; /* loading the version "bad" fails */
+	bool deaf;  /* it receives no orders */
 };
 
 struct fleet {
@@ -163,7 +164,7 @@
 	placement_engines_end(&fl->placement);
 }
 
-/* All engines serve the old model; a holder wants another. */
+/* All engines serve the old model; the lease holder wants `m`. */
 static void
 fleet_start(struct fleet *fl, const struct doc_model *m)
 {
@@ -193,9 +194,8 @@
 }
 
 /*
- * A team publishes a new version. At no moment is an engine without a ready
- * version, no more than a quarter load at once, and in the end all have the
- * new one and none the old.
+ * Guards against a rollout that leaves engines without a ready version, loads
+ * on more than a quarter of them at once, or does not finish.
  */
 static void
 test_roll(void)
@@ -213,9 +213,9 @@
 }
 
 /*
- * The new version does not load. Only the first engine tries it; every engine
- * goes on with the old one, and nobody tries again until a document names
- * another version.
+ * Guards against the rollout of a version that fails to load: only the first
+ * engine tries it, all keep the old one, and there is no further try until the
+ * document names another version.
  */
 static void
 test_bad_version(void)
@@ -238,8 +238,8 @@
 }
 
 /*
- * Every engine is replaced at dawn and asks for the same weights. The weight
- * store would refuse most of them; loads go out at its rate instead.
+ * Guards against an overloaded weight store: when all engines are replaced at
+ * once and need the same weights, loads are limited to the store's rate.
  */
 static void
 test_load_rate(void)
@@ -259,8 +259,8 @@
 }
 
 /*
- * An order is lost on its way. What is read back does not match, so it is
- * given again; the engine is not forgotten in the middle of a roll.
+ * Guards against a rollout that stops after a lost order: since the engine's
+ * reported state does not match, the order is repeated.
  */
 static void
 test_lost_order(void)
@@ -279,8 +279,8 @@
 }
 
 /*
- * The lease holder dies in the middle of a roll. The next one knows nothing
- * but what engines say, and finishes the roll; nobody is left half way.
+ * Guards against an unfinished rollout when the lease holder dies: the next
+ * holder must finish it with only the engines' reported state.
  */
 static void
 test_holder_dies(void)
@@ -301,8 +301,8 @@
 }
 
 /*
- * The lease runs out: no order goes out, engines keep what they have, and the
- * roll goes on when the lease is back.
+ * Guards against orders without a lease: engines keep their models, and the
+ * rollout continues when the lease is regained.
  */
 static void
 test_no_lease(void)
@@ -324,7 +324,7 @@
 main(int argc, char **argv)
 {
 	g_test_init(&argc, &argv, NULL);
-	/* A version that fails is worth a warning, and is what we test. */
+	/* The tests cause warnings about versions that fail to load. */
 	g_log_set_always_fatal(G_LOG_LEVEL_ERROR);
 	log_open("warning", false);
 	g_test_add_func("/placement/roll", test_roll);
--- a/tests/test-server.c
+++ b/tests/test-server.c
@@ -1,6 +1,6 @@
 /*
- * The table of backend servers: what the platform's entries do to it, and
- * which server is chosen.
+ * Tests the table of backend servers: its updates by the platform's entries,
+ * and the choice of a server for a request.
  */
 
 #include "server.h"
@@ -44,9 +44,9 @@
 }
 
 /*
- * A server says that it drains and then, by a stale or crossed entry, that it
- * is ready: a request sent then would be cut when it ends. Only a new process
- * is ready again.
+ * Guards against requests to a draining server, which would be cut off when it
+ * ends: a stale or reordered entry must not make it ready again. Only an entry
+ * of a new process does.
  */
 static void
 test_draining(void)
@@ -64,8 +64,8 @@
 }
 
 /*
- * The platform was away: entries lapsed though the servers are well, and are
- * back within two seconds. Taken as gone, all would be gone at once.
+ * Guards against the removal of all servers after an outage of the platform:
+ * the entries of healthy servers have expired and return within two seconds.
  */
 static void
 test_hold(void)
@@ -83,17 +83,17 @@
 	list(&s, 2000, "a", false, 0);
 	servers_tick(&s, 3000);
 	g_assert_cmpint(state_of(&s, "a"), ==, SERVER_READY);
-	/* The other one did not come back. */
+	/* The entry of the other server did not return. */
 	servers_tick(&s, 3001);
 	g_assert_null(servers_find(&s, name_hash("b")));
-	/* Without a hold it is gone at once. */
+	/* Without a hold, the server is removed at once. */
 	servers_unlist(&s, 4000, "a");
 	servers_tick(&s, 4000);
 	g_assert_null(servers_find(&s, name_hash("a")));
 	servers_finish(&s);
 }
 
-/* Guards against work for a server that has left, by an older list. */
+/* Guards against requests to a server that has left, after an older list. */
 static void
 test_doubt(void)
 {
@@ -111,13 +111,13 @@
 	gone = servers_mark(&s);
 	list(&s, 1000, "a", false, 5);
 	list(&s, 1000, "b", false, 5);
-	/* The process that was there before. */
+	/* An entry of an earlier process. */
 	list(&s, 1000, "c", true, 4);
 	again = servers_mark(&s);
 	g_assert_cmpint(state_of(&s, "a"), ==, SERVER_GONE);
 	g_assert_cmpint(state_of(&s, "b"), ==, SERVER_DRAINING);
 	g_assert_cmpint(state_of(&s, "c"), ==, SERVER_READY);
-	/* Others, who did not know it, list it as it stands there. */
+	/* The mark covers the listed entry, as at nodes without a doubt. */
 	g_assert_cmpuint(again, !=, gone);
 	servers_unlist(&s, 2000, "a");
 	g_assert_cmpuint(servers_mark(&s), ==, gone);
@@ -128,7 +128,7 @@
 	servers_finish(&s);
 }
 
-/* Guards against a server that came back, and is never used again. */
+/* Guards against a server that returned and is never used again. */
 static void
 test_doubt_ends(void)
 {
@@ -144,7 +144,7 @@
 	g_assert_cmpint(state_of(&s, "a"), ==, SERVER_GONE);
 	servers_tick(&s, 6000);
 	g_assert_cmpint(state_of(&s, "a"), ==, SERVER_READY);
-	/* A new process under its name needs no doubt. */
+	/* A new process with the same name is ready at once. */
 	servers_unlist(&s, 7000, "a");
 	servers_doubt(&s, 15000);
 	list(&s, 8000, "a", false, 6);
@@ -153,9 +153,9 @@
 }
 
 /*
- * Guards against a node that holds a server which is not listed any more, and
- * passes its own way of seeing it on: whoever took that, with how far it had
- * read, never heard that the server had left.
+ * Guards against a mark that covers servers held although they are unlisted:
+ * nodes that accepted such a mark as current never learned that the server had
+ * left.
  */
 static void
 test_mark_of_held(void)
@@ -179,7 +179,7 @@
 	servers_finish(&other);
 }
 
-/* What was learned of a process ends with it. */
+/* Results of an earlier process do not affect a new one. */
 static void
 test_anew(void)
 {
@@ -226,7 +226,7 @@
 	return server_choose(s, now, &w, v, 1);
 }
 
-/* How often one of many requests goes to it, a request a ms for so long. */
+/* How many of the requests, one each millisecond, go to server `v`. */
 static unsigned int
 chosen(struct servers *s, const struct server *v, msec from, msec until,
     const struct server_view *view)
@@ -240,8 +240,9 @@
 }
 
 /*
- * A server ended and is still listed, while the others take no more by the
- * rates that they name: it is tried now and then, not by every request.
+ * Guards against a dead server that gets every request while the other servers
+ * have reached the rate limits that they state. It may only be tried now and
+ * then.
  */
 static void
 test_down(void)
@@ -263,13 +264,13 @@
 	server_learn(down, 1000, SERVER_DOWN);
 	g_assert_cmpuint(chosen(&s, down, 1000, 3000, &view), <=, 4);
 	g_assert_cmpuint(chosen(&s, down, 3000, 5000, &view), >=, 3);
-	/* A node that decides alone leaves it to the others as well. */
+	/* A node that is not the only one to decide tries it less often. */
 	view.sole = false;
 	g_assert_cmpuint(chosen(&s, down, 5000, 9000, &view), <=, 1);
 	view.sole = true;
 	server_learn(down, 9000, SERVER_FULL);
 	g_assert_cmpuint(chosen(&s, down, 9000, 9100, &view), ==, 100);
-	/* Without another, too, and as a new process at once. */
+	/* Also without any other server; a new process is used at once. */
 	server_learn(down, 10000, SERVER_DOWN);
 	g_assert_cmpuint(chosen(&s, down, 10000, 10100, &view), <=, 1);
 	list(&s, 10100, "a", false, 6);
@@ -277,7 +278,7 @@
 	servers_finish(&s);
 }
 
-/* Two nodes that never spoke send a prompt to the same server. */
+/* Two nodes without messages between them choose the same home server. */
 static void
 test_home(void)
 {
@@ -295,7 +296,7 @@
 		v = choose(&a, 0, prompt, &view);
 		g_assert_true(choose(&b, 0, prompt, &view)->id == v->id);
 	}
-	/* Homes are spread. */
+	/* Every server is the home of some prompt. */
 	RB_FOREACH (v, server_tree, &a.tree) {
 		for (prompt = 1; prompt <= 200; prompt++) {
 			if (choose(&a, 0, prompt, &view) == v) {
@@ -310,8 +311,8 @@
 }
 
 /*
- * A home with a long queue loses to another, and then the prompt stays there:
- * sending it elsewhere each time would read it again each time.
+ * Guards against repeated processing of a prompt whose home has a long queue:
+ * it goes to a second server, and then stays with the servers that have it.
  */
 static void
 test_second_choice(void)
@@ -337,9 +338,9 @@
 }
 
 /*
- * While servers read long prompts, drivers' streams beside them paused too
- * long, a fifth of all on quiet days. Light requests and long prompts get
- * servers of their own, and meet only when one side is overloaded.
+ * Guards against light streams paused by long prompts on the same server (a
+ * fifth of the streams even under low load). Light requests and long prompts
+ * use separate servers, and share them only when one side is overloaded.
  */
 static void
 test_parted(void)
@@ -379,10 +380,10 @@
 }
 
 /*
- * Overload: long prompts wait two seconds in a server's queue. Given up and
- * sent elsewhere they were read twice and waited twice, 530 of 4,900 requests
- * in one burst. A request that the server lost, while it begins younger ones,
- * is still found.
+ * Guards against a request being abandoned while it waits in the queue of an
+ * overloaded server: in one burst, 530 of 4,900 requests were sent elsewhere
+ * and processed twice. A request that the server lost must still be detected:
+ * the server begins later, less urgent ones or sends nothing any more.
  */
 static void
 test_forgot(void)
@@ -393,15 +394,15 @@
 	servers_init(&s, &ops);
 	list(&s, 0, "a", false, 5);
 	v = servers_find(&s, name_hash("a"));
-	/* It answers older and more urgent ones: ours still waits. */
+	/* It answers earlier and more urgent ones: the request still waits. */
 	server_heard(v, 3900, 2, 900);
 	server_heard(v, 3950, 0, 3000);
 	g_assert_false(server_forgot(v, 4000, 2, 1000, 1000));
-	/* One that is less urgent and younger was begun. */
+	/* It has begun a later, less urgent one. */
 	server_heard(v, 4010, 3, 1500);
 	g_assert_true(server_forgot(v, 4020, 2, 1000, 1000));
 	g_assert_false(server_forgot(v, 4020, 2, 1600, 1000));
-	/* Nothing at all comes any more. */
+	/* The server sends nothing any more. */
 	g_assert_false(server_forgot(v, 5000, 2, 1600, 1000));
 	g_assert_true(server_forgot(v, 5010, 2, 1600, 1000));
 	servers_finish(&s);
@@ -425,7 +426,7 @@
 	}
 	g_assert_cmpuint(w.navoid, ==, 3);
 	g_assert_false(servers_have_another(&s, &w));
-	/* The one that is left drains. */
+	/* The only remaining server drains. */
 	w.navoid = 2;
 	g_assert_true(servers_have_another(&s, &w));
 	list(&s, 1, last, true, 0);
@@ -435,8 +436,9 @@
 }
 
 /*
- * A group's coordinator has some 400 prompts, each read by some servers. Those
- * it forgets are sent elsewhere and read again.
+ * Guards against a memory too small for the coordinator of a group, which has
+ * about 400 prompts on several servers each. Prompts that it drops are sent
+ * elsewhere and processed again.
  */
 static void
 test_memory_room(void)
@@ -458,8 +460,8 @@
 }
 
 /*
- * A burst of long prompts: their servers are four seconds behind. Those kept
- * for light requests still get none, or the light ones would break too.
+ * Guards against long prompts on the servers kept for light requests during a
+ * burst, when the other servers have queues of 4 s.
  */
 static void
 test_mix_under_load(void)
@@ -487,7 +489,7 @@
 		v = server_choose(&s, 0, &w, &view, i);
 		g_assert_cmpuint(v->all.unread, ==, 240000);
 	}
-	/* Beyond any use they do. */
+	/* With extremely long queues they do get long prompts. */
 	RB_FOREACH (v, server_tree, &s.tree) {
 		if (v->all.unread != 0)
 			v->all.unread = 1200000;
@@ -498,8 +500,8 @@
 }
 
 /*
- * Servers crash, so a service has one group less. Most stay with those that
- * they were with, and what they have read is still asked of them.
+ * Guards against servers that change their group when a service has one group
+ * less: requests for the prompts that they have processed would go elsewhere.
  */
 static void
 test_groups_stay(void)
@@ -519,9 +521,8 @@
 }
 
 /*
- * Servers of few slots, and one prompt that all ask for. Its home runs as many
- * as it has slots, and twenty wait there for half a second each while the other
- * server has nothing to do: reading the prompt again there is quicker.
+ * Guards against requests that wait for a slot at the home of their prompt
+ * while another server is idle: processing the prompt again there is quicker.
  */
 static void
 test_slots_full(void)
@@ -543,12 +544,12 @@
 	    &s, name_hash(strcmp(home->name, "a") == 0 ? "b" : "a"));
 	home->slots = other->slots = 8;
 	home->all.running = 8;
-	/* One more waits for 63 ms; reading again weighs 500. */
+	/* The wait for a slot is 63 ms; processing again counts as 500. */
 	view.hold_ms = 500;
 	g_assert_true(server_choose(&s, 0, &w, &view, 1) == home);
 	home->all.running = 20;
 	g_assert_true(server_choose(&s, 0, &w, &view, 1) == other);
-	/* How long one is there is not known yet, or it does not say slots. */
+	/* The hold time or the number of slots is unknown. */
 	view.hold_ms = 0;
 	g_assert_true(server_choose(&s, 0, &w, &view, 1) == home);
 	view.hold_ms = 500;
@@ -558,10 +559,11 @@
 }
 
 /*
- * A VM's link was full of prompts on their way in: for ten seconds no server
- * confirmed its connections in time. It said of one after the other that it was
- * down, to all that coordinate, and they sent prompts where they had to be read
- * again. Servers that are lost, three at once, are still found.
+ * Guards against a node that reports healthy servers as down to the
+ * coordinators when its own network link is congested. In one case no server
+ * confirmed its connections in time for 10 s, and prompts were sent where they
+ * had to be processed again. Single failed servers, also several at once, must
+ * still be detected.
  */
 static void
 test_out_of_reach(void)
@@ -573,12 +575,12 @@
 	servers_init(&s, &ops);
 	many(&s, 12);
 	g_assert_true(servers_in_reach(&s, 0));
-	/* One server, however often. */
+	/* Only one server, however often, does not count. */
 	v = RB_MIN(server_tree, &s.tree);
 	for (i = 0; i < 20; i++)
 		servers_missed(&s, i, v);
 	g_assert_true(servers_in_reach(&s, 20));
-	/* Four of twelve are lost; the others answer. */
+	/* Some servers do not answer; the others do. */
 	for (i = 0; i < 40; i++) {
 		if (i % 3 != 0)
 			servers_reached(&s, 3000 + i * 10);
@@ -597,21 +599,21 @@
 		v = RB_NEXT(server_tree, &s.tree, v);
 	}
 	g_assert_false(servers_in_reach(&s, 9003));
-	/* Ten more were sent to one of them: it is no other knowledge. */
+	/* More failures at one of them change nothing. */
 	for (i = 0; i < 10; i++)
 		servers_missed(&s, 9003, RB_MIN(server_tree, &s.tree));
 	g_assert_false(servers_in_reach(&s, 9003));
-	/* Some of the packets come through. */
+	/* Some connections succeed. */
 	for (i = 0; i < 6; i++)
 		servers_reached(&s, 9100 + i);
 	g_assert_true(servers_in_reach(&s, 9105));
-	/* A quiet node: three lost servers, one a second. */
+	/* Low load: three servers fail, one each second. */
 	for (i = 0; i < 3; i++) {
 		servers_missed(&s, 13000 + i * 1000, v);
 		v = RB_NEXT(server_tree, &s.tree, v);
 		g_assert_true(servers_in_reach(&s, 13000 + i * 1000));
 	}
-	/* Two that rest are not asked; the third goes on not to answer. */
+	/* Two failed servers are not tried again; the third keeps failing. */
 	for (i = 0; i < 3; i++) {
 		servers_missed(&s, 18000, v);
 		v = RB_NEXT(server_tree, &s.tree, v);
@@ -620,7 +622,7 @@
 	for (i = 0; i < 10; i++)
 		servers_missed(&s, 18000 + i * 300, v);
 	g_assert_false(servers_in_reach(&s, 20700));
-	/* Known for as long as it is fresh. */
+	/* The result expires without new failures. */
 	for (i = 0; i < 12; i++, v = RB_NEXT(server_tree, &s.tree, v)) {
 		if (v == NULL)
 			v = RB_MIN(server_tree, &s.tree);
--- a/tests/test-usage.c
+++ b/tests/test-usage.c
@@ -1,7 +1,7 @@
 /*
- * What began to run, by window and organisation. What a user would see when it
- * goes wrong: an organisation is billed for too little or too much, since a
- * node that was killed took its counts along, or a clock jumped.
+ * Tests the counts of started requests by window and organisation. Guards
+ * against an organisation that is billed too little or too much because a node
+ * was killed with its counts or a clock jumped.
  */
 
 #include "usage.h"
@@ -15,7 +15,7 @@
 #define STEP 50
 #define ORGANISATIONS 100
 #define WALL 1787838531391LL
-/* Of a window, what a node may not have told when it is killed. */
+/* The part of a window's counts that a killed node may not have sent. */
 #define UNTOLD_PART (500.0 / WINDOW)
 
 struct world;
@@ -25,7 +25,7 @@
 	struct world *world;
 	unsigned int index;
 	bool up;
-	msec wall_ahead; /* of true time */
+	msec wall_ahead; /* wall clock minus true time */
 	uint64_t incarnation;
 };
 
@@ -43,7 +43,7 @@
 	unsigned int lost_percent;
 	GQueue mail;
 	unsigned int keepers[KEEPERS];
-	GHashTable *truth[64]; /* by window */
+	GHashTable *truth[64]; /* counts by organisation, of each window */
 	uint64_t first;
 };
 
@@ -134,7 +134,7 @@
 	g_rand_free(w->rand);
 }
 
-/* A request begins at a node that is up. */
+/* A request begins at a random node; ignored if that node is down. */
 static void
 world_request(struct world *w)
 {
@@ -191,7 +191,7 @@
 	}
 }
 
-/* To so many ms after the end of the running window. */
+/* Runs until `into` ms after the end of the current window. */
 static void
 world_run_to(struct world *w, msec into, unsigned int requests)
 {
@@ -201,7 +201,7 @@
 		world_step(w, requests);
 }
 
-/* By how much what a holder would report is off, of the truth. */
+/* The error of the holder's counts, as a part of all requests. */
 static double
 world_off(struct world *w, unsigned int holder, uint64_t window)
 {
@@ -242,7 +242,7 @@
 	       whole;
 }
 
-/* Guards against counts that are not exact on a calm day, or come late. */
+/* Guards against counts that are late or not exact without any fault. */
 static void
 test_calm(void)
 {
@@ -263,7 +263,7 @@
 	world_finish(&w);
 }
 
-/* Guards against datagrams that are lost: what is told is told again. */
+/* Guards against counts lost with datagrams: counts must be sent again. */
 static void
 test_loss(void)
 {
@@ -277,7 +277,7 @@
 	world_finish(&w);
 }
 
-/* Guards against nodes that are killed right before a window's end. */
+/* Guards against counts lost with nodes killed right before a window's end. */
 static void
 test_killed_before_end(void)
 {
@@ -294,7 +294,7 @@
 	world_finish(&w);
 }
 
-/* Guards against a holder that takes the counts of dead nodes along. */
+/* Guards against a killed holder whose counts of dead nodes are lost. */
 static void
 test_holder_killed(void)
 {
@@ -313,7 +313,7 @@
 	world_finish(&w);
 }
 
-/* Guards against a holder that kept no counts before: others pass theirs on. */
+/* Guards against a new keeper without the counts that other keepers have. */
 static void
 test_passed_on(void)
 {
@@ -332,7 +332,10 @@
 	world_finish(&w);
 }
 
-/* Guards against a window that is lost or counted twice when all are killed. */
+/*
+ * Guards against a window that is lost or counted twice when all nodes are
+ * killed.
+ */
 static void
 test_all_killed(void)
 {
@@ -361,7 +364,7 @@
 	world_finish(&w);
 }
 
-/* Guards against a wall clock that jumps: windows go on by true time. */
+/* Guards against wrong windows when the wall clocks of nodes jump. */
 static void
 test_clock_jumps(void)
 {
@@ -380,8 +383,7 @@
 	world_finish(&w);
 }
 
-/* Guards against a process that begins while its clock is wrong, the holder's
- * too. */
+/* Guards against wrong windows when nodes start with a wrong wall clock. */
 static void
 test_wrong_from_the_start(void)
 {
@@ -405,7 +407,7 @@
 	world_finish(&w);
 }
 
-/* Guards against counts of windows long past, or larger than can be. */
+/* Guards against counts of far windows and against impossible counts. */
 static void
 test_wrong_counts(void)
 {
