--- a/tests/test-dispatch-faults.c
+++ b/tests/test-dispatch-faults.c
@@ -1,8 +1,8 @@
 /*
- * Dispatch core under load and faults, in virtual time: several nodes, fake
- * engines, lossy messages. The harness itself asserts that no request is
- * granted twice at a time or after its end, and that no protected one is
- * refused.
+ * Tests dispatch cores under load and faults, in virtual time: several nodes,
+ * fake engines and lost messages. util-dispatch.c itself asserts that no
+ * request is granted twice at a time or after its end, and that no protected
+ * request is refused. Single messages are tested in test-dispatch.c.
  */
 
 #define LOG_PART "test"
@@ -11,7 +11,7 @@
 
 #include <stdlib.h>
 
-/* Each story is told so often. */
+/* Each scenario runs with this many seeds. */
 #define SEEDS 8
 
 enum {
@@ -44,7 +44,7 @@
 	return c;
 }
 
-/* Run at a load until things have settled, then begin to measure. */
+/* Runs at a load until a steady state, then begins to measure. */
 static void
 start(struct world *w, const struct world_config *c, double load)
 {
@@ -54,7 +54,7 @@
 	world_measure(w, true);
 }
 
-/* Everything that runs ends; then nothing may be left anywhere. */
+/* Lets all requests end; afterwards no state of them may be left. */
 static void
 drain(struct world *w)
 {
@@ -84,18 +84,18 @@
 	}
 }
 
-/* Summed over the seeds of one story. */
+/* Totals over the seeds of one scenario. */
 struct totals {
 	unsigned int came[3], well[3], refused[3], failed[3];
 	double made, wasted;
 };
 
-/* What must hold of a story over all its seeds. */
+/* A scenario, and the bounds on its totals. */
 struct story {
-	/* From start() to the end of what is measured. */
+	/* Calls start() and runs until the end of the measurement. */
 	void (*run)(struct world *, struct world_config *);
-	double least[3]; /* part of a class that attains; 0: any */
-	double wasted;	 /* part of the tokens, at most; 0: any */
+	double least[3]; /* attained part of a class; 0: any */
+	double wasted;	 /* wasted part of the tokens, at most; 0: any */
 	bool all_end;	 /* no stream may fail */
 };
 
@@ -137,7 +137,7 @@
 		g_assert_cmpfloat(t->wasted / t->made, <, story->wasted);
 }
 
-/* One seed has some hundred re-plans: too few for bounds of one percent. */
+/* The bounds apply to all seeds together: one has too few re-plans for 1 %. */
 static void
 test_story(gconstpointer data)
 {
@@ -160,9 +160,9 @@
 }
 
 /*
- * At dawn every dispatcher asks for a draft at once, five times what the
- * engines can do. Re-plans and drivers' questions come in as ever and would
- * wait behind the drafts for minutes. Cause: one class floods the rest.
+ * Guards against one class of requests that delays the others: drafts burst to
+ * several times the engines' capacity, and re-plans and questions would wait
+ * behind them for minutes.
  */
 static void
 run_burst(struct world *w, struct world_config *c)
@@ -174,9 +174,9 @@
 }
 
 /*
- * The re-plans themselves burst beyond what all engines can do. None is
- * refused, and most of those that can still be in time are. By deadline alone
- * nearly all would be late. Cause: those late already go first.
+ * Guards against late re-plans in a burst of re-plans beyond the engines'
+ * capacity. None is refused. If they were ordered by deadline alone, those that
+ * are already late would go first and nearly all would be late.
  */
 static void
 run_protected_burst(struct world *w, struct world_config *c)
@@ -188,9 +188,8 @@
 }
 
 /*
- * Some answers come ten times slower than others, though all reports look
- * well. Cause: an engine has become a straggler, and what it reports is not
- * what it does.
+ * Guards against slow answers when one engine becomes ten times slower and its
+ * reports do not show it.
  */
 static void
 run_straggler(struct world *w, struct world_config *c)
@@ -202,9 +201,9 @@
 }
 
 /*
- * An entry VM dies while the queues of its engines are full. Callers of other
- * entry VMs would wait for grants that never come. Cause: the queue died with
- * its owner; entry nodes must reserve with the new one.
+ * Guards against callers that wait for grants that never come: an entry VM dies
+ * with the full queues of its engines, and the other nodes must reserve again
+ * with the new owners.
  */
 static void
 run_owner_dies(struct world *w, struct world_config *c)
@@ -228,9 +227,9 @@
 }
 
 /*
- * An entry VM stands still for 5 s, is given up by the others, wakes and
- * grants from its old queue as if nothing had been. Requests would run twice.
- * Cause: it still believes that it owns its engines.
+ * Guards against requests that run twice: an entry VM is paused for 5 s, the
+ * others remove it from the membership, and it then grants requests of its old
+ * queue, since it still counts itself as the owner of its engines.
  */
 static void
 run_owner_paused(struct world *w, struct world_config *c)
@@ -243,8 +242,8 @@
 }
 
 /*
- * The engines' reports stand still at what they were. All work would go to
- * the engine that looked idle. Cause: reports lag, and sometimes stop.
+ * Guards against all requests going to one engine when the engines' load
+ * reports stop changing.
  */
 static void
 run_reports_frozen(struct world *w, struct world_config *c)
@@ -255,9 +254,9 @@
 }
 
 /*
- * One organisation sends most of all requests, more than the engines can do.
- * The others' drafts would be refused as often as its own. Cause: within a
- * class, first come first served gives service by demand.
+ * Guards against one organisation that takes the capacity of the others: it
+ * sends most of all requests, above the engines' capacity. In order of arrival,
+ * the others' drafts would be refused as often as its own.
  */
 static void
 run_flood(struct world *w, struct world_config *c)
@@ -267,7 +266,7 @@
 	start(w, c, 2.0);
 	w->flood_share = 0.8;
 	world_run(w, 30000);
-	/* Now a quiet organisation's drafts among the flood. */
+	/* Drafts of an organisation with few requests, during the overload. */
 	w->quiet = 5;
 	world_run(w, 30000);
 	world_measure(w, true);
@@ -275,7 +274,7 @@
 		world_run(w, 500);
 		world_submit(w, DRAFT, 5, 200);
 	}
-	/* The last of them end, and still count. */
+	/* The last of them end and are counted. */
 	world_run(w, 60000);
 	g_test_message("quiet organisation: %u of %u attained; flood: %u of %u",
 	    w->org_attained[5], w->org_arrived[5], w->org_attained[0],
@@ -286,8 +285,8 @@
 }
 
 /*
- * Drafts and questions burst together and a failure domain goes with its
- * entry VMs and engines. Re-plans would drown. Cause: faults come together.
+ * Guards against late re-plans when drafts and questions burst together and a
+ * failure domain is lost with its entry VMs and engines.
  */
 static void
 run_two_bursts_domain_lost(struct world *w, struct world_config *c)
@@ -307,9 +306,9 @@
 }
 
 /*
- * For a while two entry VMs both believe that they own the same engines.
- * Streams would overfill them. Cause: news of membership comes to nodes at
- * different times. No request may run twice, and it passes.
+ * Guards against overloaded engines and requests that run twice while two entry
+ * VMs both act as owner of the same engines, since changes of the membership
+ * reach nodes at different times.
  */
 static void
 run_two_owners(struct world *w, struct world_config *c)
@@ -324,7 +323,8 @@
 		some[i].domain = w->nodes[i].domain + 1;
 		some[i].takes_work = true;
 	}
-	/* Half of the nodes do not see the other half for 10 s. */
+	/* For 10 s, half of the nodes have a membership without the other half.
+	 */
 	for (i = 0; i < 3; i++)
 		dispatch_set_nodes(&w->nodes[i].d, (msec)w->now, some, 3);
 	world_after(w, 10000, split_end);
@@ -332,8 +332,8 @@
 }
 
 /*
- * One message in twenty is lost and one in twenty comes twice. Requests would
- * hang and slots would leak. Cause: UDP.
+ * Guards against hanging requests and leaked slots when UDP loses 5 % of the
+ * messages and duplicates 5 %.
  */
 static void
 run_loss(struct world *w, struct world_config *c)
@@ -345,8 +345,8 @@
 }
 
 /*
- * An entry VM is stopped as planned. Its callers' streams end whole and its
- * engines go on under other owners at once.
+ * Guards against broken streams in a planned stop of an entry VM: the streams
+ * of its callers end normally, and other nodes own its engines at once.
  */
 static void
 run_leave(struct world *w, struct world_config *c)
@@ -356,7 +356,7 @@
 	world_run(w, 120000);
 }
 
-/* ---- anything may happen ---- */
+/* ---- random faults ---- */
 
 static void
 check_engine(struct world *w, const struct engine *e)
@@ -449,8 +449,9 @@
 }
 
 /*
- * A million events: crashes, pauses, partitions, stragglers, bursts, losses and
- * doubles, in any order, with the invariants checked after each of them.
+ * Runs a million events with crashes, pauses, partitions, slow engines, bursts
+ * and lost or duplicate messages in random order, and checks the invariants
+ * after each event.
  */
 static void
 test_random(void)
@@ -469,7 +470,7 @@
 		world_after(&w, 1000, random_fault);
 		world_run(&w, 120000);
 		events += w.nevents;
-		/* All is mended, and nothing may be left. */
+		/* All faults end; afterwards no state may be left. */
 		world_stop_faults(&w);
 		for (i = 0; i < c.engines; i++) {
 			w.engines[i].down = w.engines[i].unlisted = false;
@@ -497,7 +498,7 @@
 	{ "/dispatch/protected-burst", { run_protected_burst, { 0.5 } } },
 	{ "/dispatch/straggler", { run_straggler, { 0.98, 0.98, 0.97 } } },
 	{ "/dispatch/owner-dies", { run_owner_dies, { 0.98, 0.97 }, 0.03 } },
-	/* Callers at the paused node itself wait for it. */
+	/* Callers at the paused node itself have to wait. */
 	{ "/dispatch/owner-paused",
 	    { run_owner_paused, { 0.95, 0.95 }, 0.03 } },
 	{ "/dispatch/reports-frozen",
@@ -511,10 +512,10 @@
 };
 
 /*
- * A caller reads a long stream at a crawl, and the stream's first token was
- * late as the machine was busy. All others were then told "hopeless" for as
- * long as it went on: the engine was taken to have a single slot, which the
- * stream held, and slots rise only by first tokens of further requests.
+ * Guards against an engine limited to one slot by a single stalled stream. The
+ * first token of a long stream was late and its caller read slowly; all other
+ * requests were refused as "hopeless" until it ended, since it held the only
+ * slot and the limit rises only with first tokens of further requests.
  */
 static void
 test_lone_stall(void)
@@ -526,7 +527,8 @@
 	g_assert_cmpuint(slots_limit(&s), ==, 8);
 	slots_stalled(&s, 2000, 3, 3);
 	g_assert_cmpuint(slots_limit(&s), ==, 8);
-	/* One that runs shows that the others wait inside the engine. */
+	/* With one stream running, the stalled ones must be queued in the
+	 * engine. */
 	slots_stalled(&s, 3000, 4, 3);
 	g_assert_cmpuint(slots_limit(&s), ==, 1);
 }
@@ -537,7 +539,7 @@
 	unsigned int i;
 
 	g_test_init(&argc, &argv, NULL);
-	/* A line for each of a million decisions would help nobody. */
+	/* Drops the debug line for each of about a million decisions. */
 	g_log_set_handler("dispatch", G_LOG_LEVEL_DEBUG, log_drop, NULL);
 	for (i = 0; i < G_N_ELEMENTS(stories); i++)
 		g_test_add_data_func(
--- a/tests/test-dispatch.c
+++ b/tests/test-dispatch.c
@@ -1,5 +1,6 @@
 /*
- * Dispatch core: what one node does with single messages.
+ * Tests the dispatch core: how one node reacts to single messages. Load and
+ * faults of several nodes are in test-dispatch-faults.c.
  */
 
 #define LOG_PART "test"
@@ -13,7 +14,7 @@
 #define ENGINE 77
 #define SENT_MAX 64
 
-/* One core whose messages and callbacks are written down. */
+/* A dispatch core, with a record of its messages and callbacks. */
 struct fixture {
 	struct dispatch d; /* first */
 	struct document doc;
@@ -61,7 +62,7 @@
 static const struct dispatch_ops ops = { on_send, on_granted, on_refused,
 	on_preempt };
 
-/* The engine is ours or the other node's, by its failure domain. */
+/* The engine is owned by this or the other node, by its failure domain. */
 static void
 fixture_init(struct fixture *f, name_id engine_domain, unsigned int slots)
 {
@@ -177,9 +178,8 @@
 }
 
 /*
- * A reservation arrives twice, since the entry node heard nothing and sent it
- * again. Two slots would be taken for one request, and stay taken. Cause: UDP
- * loses and doubles.
+ * Guards against a leaked slot when a reservation arrives twice, as the entry
+ * node received no answer and sent it again, or UDP duplicated it.
  */
 static void
 test_reserve_twice(void)
@@ -190,7 +190,7 @@
 	receive_reserve(&f, 1000, 9, 1, 1);
 	receive_reserve(&f, 1001, 9, 1, 1);
 	g_assert_cmpuint(sent_count(&f, SP_GRANT), ==, 2);
-	/* The second slot is still there, the third is not. */
+	/* The second slot is still free; there is no third. */
 	receive_reserve(&f, 1002, 9, 2, 1);
 	g_assert_cmpuint(sent_count(&f, SP_GRANT), ==, 3);
 	receive_reserve(&f, 1003, 9, 3, 1);
@@ -203,9 +203,9 @@
 }
 
 /*
- * An entry VM restarts and its caller's new request gets number 1 again; then
- * a message of the time before arrives. The new request would be taken for the
- * old one. Cause: a datagram was under way for long.
+ * Guards against a new request being mistaken for an old one: an entry VM
+ * restarts and uses request number 1 again, and a delayed message of its
+ * earlier process arrives.
  */
 static void
 test_old_incarnation(void)
@@ -216,7 +216,7 @@
 	receive_reserve(&f, 1000, 9, 1, 1);
 	g_assert_cmpuint(sent_count(&f, SP_GRANT), ==, 1);
 	receive_reserve(&f, 1001, 9, 2, 1);
-	/* The slot of the dead incarnation is free at once. */
+	/* The slot of the earlier incarnation is free at once. */
 	receive_reserve(&f, 1002, 10, 1, 1);
 	g_assert_cmpuint(sent_count(&f, SP_GRANT), ==, 2);
 	g_assert_cmpuint(sent_count(&f, SP_QUEUED), ==, 1);
@@ -226,9 +226,9 @@
 }
 
 /*
- * An owner is paused for some seconds, wakes and grants what it had queued.
- * The caller's request would run a second time. Cause: the entry node has long
- * run it elsewhere or told its caller "not run".
+ * Guards against a request that runs twice: an owner is paused for some seconds
+ * and then grants its queued requests, which the entry node has meanwhile run
+ * elsewhere or reported as "not run".
  */
 static void
 test_stale_grant(void)
@@ -250,7 +250,7 @@
 	dispatch_finish(&f.d);
 }
 
-/* A grant that comes twice starts the request once and is not given back. */
+/* A duplicate grant neither starts the request again nor is returned. */
 static void
 test_grant_twice(void)
 {
@@ -268,8 +268,8 @@
 }
 
 /*
- * A low tier's request waits past the time when a start would still be of use.
- * It is told so at once, with a time to come back, not held to its deadline.
+ * Guards against a request of a low tier that waits until its deadline although
+ * it can no longer meet its target: it is refused early, with a time to retry.
  */
 static void
 test_hopeless(void)
@@ -291,9 +291,9 @@
 }
 
 /*
- * A stream broke with its engine and goes on elsewhere while all is full. What
- * was computed would be thrown away and the caller's answer cut off, if it were
- * refused like a new request.
+ * Guards against a stream that is cut off: when it resumes after the failure of
+ * its engine while all engines are full, refusing it like a new request would
+ * waste the tokens that it already has.
  */
 static void
 test_resumed(void)
@@ -320,9 +320,9 @@
 }
 
 /*
- * An owner stands still after it has queued a re-plan. Its caller would wait
- * for as long as the pause. The entry node notices within 3 s that reservations
- * sent again stay without an answer, and gives this owner up.
+ * Guards against a caller that waits for a paused owner: the owner has queued
+ * the request and then stops. Within 3 s the entry node finds that repeated
+ * reservations are not answered, and cancels them.
  */
 static void
 test_silent_owner(void)
@@ -341,7 +341,7 @@
 	for (at = 1002; at < 4000 && sent_count(&f, SP_CANCEL) == 0; at += 10)
 		dispatch_tick(&f.d, at);
 	g_assert_cmpuint(sent_count(&f, SP_CANCEL), ==, 1);
-	/* There is no other engine, so it is asked afresh. */
+	/* There is no other engine, so it sends a new reservation. */
 	for (f.nsent = 0; at < 4500; at += 10)
 		dispatch_tick(&f.d, at);
 	g_assert_cmpuint(sent_count(&f, SP_RESERVE), >, 0);
@@ -349,7 +349,7 @@
 	dispatch_finish(&f.d);
 }
 
-/* An engine to avoid is used when there is no other, rather than none. */
+/* An engine to avoid is used if there is no other. */
 static void
 test_avoid_only(void)
 {
@@ -364,7 +364,7 @@
 	dispatch_finish(&f.d);
 }
 
-/* The queue is full: a higher tier takes the place of the lowest. */
+/* In a full queue, a request of a higher tier replaces one of the lowest. */
 static void
 test_evict(void)
 {
@@ -390,8 +390,8 @@
 }
 
 /*
- * A plain service takes four calls at once, as its document's traits say. A
- * burst would break it. The stated number is a bound there, not a first guess.
+ * Guards against more concurrent calls than a plain service takes: the number
+ * of slots that its document states is a limit there, not an initial estimate.
  */
 static void
 test_plain_bound(void)
@@ -418,8 +418,9 @@
 }
 
 /*
- * A request comes to dispatch when its target is over, as it waited for its
- * organisation's limit or ran on a server that failed: a free engine takes it.
+ * Guards against the refusal of a request that reaches dispatch after its
+ * target has passed, since it waited for its organisation's limit or its server
+ * failed: a free engine must still take it.
  */
 static void
 test_late_at_first(void)
@@ -438,7 +439,7 @@
 	dispatch_finish(&f.d);
 }
 
-/* What came late is refused all the same when no engine takes it soon. */
+/* Such a late request is refused if no engine takes it soon. */
 static void
 test_late_and_busy(void)
 {
@@ -454,7 +455,7 @@
 	dispatch_finish(&f.d);
 }
 
-/* Duties move at once, and what waits in our queue is told so. */
+/* A node that leaves refuses queued and new reservations at once. */
 static void
 test_leave(void)
 {
--- a/tests/test-place-rate.c
+++ b/tests/test-place-rate.c
@@ -1,8 +1,8 @@
 /*
- * Servers that name the rate of requests they take, on virtual time: nodes
- * that place requests through coordinators, and messages that take a while and
- * get lost. What a user would see when it goes wrong: a server in need is
- * overrun by all nodes together, or stands idle though it could help.
+ * Tests servers that limit the rate of requests that they take, in virtual
+ * time: several nodes choose servers through coordinators, with delayed and
+ * lost messages. Guards against a limited server that all nodes together
+ * overload, and against one that is left idle below its limit.
  */
 
 #include "place.h"
@@ -17,7 +17,7 @@
 #define TOKENS_PER_MS 60
 #define STABLE_MS 3000
 #define WINDOW_MS 4000
-/* Of what a server takes, with more than that asked for. */
+/* The least part of a server's limit that is used if demand exceeds it. */
 #define USED_PART 0.85
 
 struct world;
@@ -33,28 +33,28 @@
 struct request {
 	struct place_request place;
 	struct node *node;
-	msec answers, ends; /* MSEC_NEVER: it has */
+	msec answers, ends; /* due times; `answers` is MSEC_NEVER afterwards */
 };
 
 struct world {
 	struct node nodes[NODES_MAX];
 	unsigned int n;
-	double rates[SERVERS];	   /* that they name; 0: none */
-	GArray *arrivals[SERVERS]; /* msec */
+	double rates[SERVERS];	   /* limits in requests per second; 0: none */
+	GArray *arrivals[SERVERS]; /* arrival times, msec */
 	GPtrArray *requests;
 	struct mail mail;
 	GRand *rand;
 	msec now;
 	unsigned int placed, refused, turned_away;
-	msec free_at[SERVERS]; /* has read all that it was given */
-	bool mixed;	       /* kinds[] by turns */
+	msec free_at[SERVERS]; /* when it has processed all its prompts */
+	bool mixed;	       /* requests alternate between kinds[] */
 	unsigned int turn;
 	unsigned int by_kind[KINDS][SERVERS];
 };
 
 static const char *const names[SERVERS] = { "s-0", "s-1", "s-2", "s-3" };
 
-/* Long prompts, each shared by many requests, and streams that mind pauses. */
+/* Long prompts with a shared part, and light streams that need short pauses. */
 static const struct server_wish kinds[] = {
 	{ .route = KINDS,
 	    .gap_target = 1000,
@@ -66,7 +66,7 @@
 	{ .route = KINDS + 1, .gap_target = 250, .rank = 0, .own = 1400 },
 };
 
-/* ---- what the core calls ---- */
+/* ---- callbacks of place ---- */
 
 static void
 op_send(struct place *p, name_id to, const sp_msg *msg)
@@ -87,7 +87,7 @@
 	return (unsigned int)(v->name[2] - '0');
 }
 
-/* How long its server needs to read it, after what it was given before. */
+/* Milliseconds until the server has processed the prompt after its queue. */
 static msec
 request_reads(struct world *w, const struct place_request *r, unsigned int i)
 {
@@ -131,7 +131,7 @@
 
 static const struct server_ops server_ops = { op_server, op_server };
 
-/* ---- the world ---- */
+/* ---- simulation ---- */
 
 static void
 nodes_push(struct world *w)
@@ -174,7 +174,7 @@
 	v->place.arg = v;
 }
 
-/* Its process ends, with all that it had in hand. */
+/* Kills a node's process together with its requests. */
 static void
 node_kill(struct world *w, unsigned int i)
 {
@@ -239,7 +239,7 @@
 		    ((struct node *)from)->place.self, msg);
 }
 
-/* The head of its answer says what its server takes. */
+/* The head of the answer arrives, with the server's rate limit. */
 static void
 request_answered(struct world *w, struct request *q)
 {
@@ -290,7 +290,7 @@
 	place_submit(&q->node->place, w->now, &q->place);
 }
 
-/* So many ms with so many requests a second. */
+/* Runs for `span` ms with `per_s` requests per second. */
 static void
 world_run(struct world *w, msec span, unsigned int per_s)
 {
@@ -312,7 +312,7 @@
 	}
 }
 
-/* The most in some window from then on. */
+/* The most arrivals in any WINDOW_MS that begin after `from`. */
 static unsigned int
 arrivals_most(const struct world *w, unsigned int server, msec from)
 {
@@ -357,8 +357,10 @@
 
 /* ---- tests ---- */
 
-/* Guards against a sum over all nodes that is more than a server takes, and
- * against one that is much less. */
+/*
+ * Guards against a total rate of all nodes above a server's limit or far below
+ * it.
+ */
 static void
 test_sum(void)
 {
@@ -384,7 +386,7 @@
 	}
 }
 
-/* The same where every server is in need, and most is turned away. */
+/* The same if all servers are limited and most requests are refused. */
 static void
 test_all_in_need(void)
 {
@@ -408,7 +410,7 @@
 	world_finish(&w);
 }
 
-/* A rate that changes each second; the part of it that is used. */
+/* Changes the limit each second; returns the used part of its total. */
 static double
 changes_used(const double *rates, unsigned int n, uint32_t seed)
 {
@@ -426,7 +428,7 @@
 		takes += w.rates[0];
 		world_run(&w, 1000, 600);
 	}
-	/* A window of four seconds has each of them. */
+	/* Each WINDOW_MS contains all the rates. */
 	check_bound(&w, 0, takes / 40, from);
 	used = arrivals_since(&w, 0, from) / takes;
 	g_test_message("used %.2f", used);
@@ -435,8 +437,9 @@
 }
 
 /*
- * Guards against a rate that changes faster than what was saved up of it.
- * Only an answer shows a rise: after two a second it is seen late.
+ * Guards against tokens saved at a higher rate when the limit changes often. A
+ * rise is only seen with an answer, so late at low rates; therefore the used
+ * part is not checked for the rates that differ widely.
  */
 static void
 test_changes(void)
@@ -449,7 +452,7 @@
 	changes_used(far, G_N_ELEMENTS(far), 4);
 }
 
-/* Guards against a new coordinator that does not know, or counts anew. */
+/* Guards against exceeded limits when coordinators restart again and again. */
 static void
 test_coordinators(void)
 {
@@ -478,7 +481,7 @@
 	}
 }
 
-/* The node that places for the others. */
+/* The node that coordinates most requests. */
 static unsigned int
 coordinator_of(const struct world *w)
 {
@@ -492,7 +495,7 @@
 	return best;
 }
 
-/* Half of the nodes hold the coordinator for gone: there are two. */
+/* Half of the nodes drop the coordinator from their membership. */
 static void
 nodes_push_two(struct world *w)
 {
@@ -510,7 +513,7 @@
 	}
 }
 
-/* Guards against two that count the same server, each for itself. */
+/* Guards against two coordinators that each allow a server's whole rate. */
 static void
 test_two_coordinators(void)
 {
@@ -534,7 +537,7 @@
 	}
 }
 
-/* All nodes are told to end, and each knows that of all others. */
+/* All nodes leave, and each has a membership that shows it. */
 static void
 nodes_push_leaving(struct world *w)
 {
@@ -548,7 +551,7 @@
 		place_set_nodes(&w->nodes[i].place, w->now, list, w->n);
 }
 
-/* Guards against nodes that all leave and each give the whole rate. */
+/* Guards against leaving nodes that each allow a server's whole rate. */
 static void
 test_all_leave(void)
 {
@@ -570,7 +573,7 @@
 	}
 }
 
-/* Guards against nodes that all decide for themselves. */
+/* Guards against exceeded limits while nodes decide without a coordinator. */
 static void
 test_alone(void)
 {
@@ -593,7 +596,7 @@
 	}
 }
 
-/* Guards against a rate that is kept to after it has ended. */
+/* Guards against a limit that still applies after the server lifted it. */
 static void
 test_ends(void)
 {
@@ -609,12 +612,12 @@
 	from = w.now;
 	before = arrivals_since(&w, 0, from);
 	world_run(&w, 4000, 400);
-	/* A quarter of all, as the others get. */
+	/* About a quarter of the requests, as at the other servers. */
 	g_assert_cmpuint(arrivals_since(&w, 0, from) - before, >=, 200);
 	world_finish(&w);
 }
 
-/* The server that gets most requests of a kind, and which part of them. */
+/* The server with most requests of a kind; `part` is its part of them. */
 static unsigned int
 kind_home(const struct world *w, unsigned int kind, double *part)
 {
@@ -630,8 +633,9 @@
 }
 
 /*
- * Guards against a server kept for streams that mind pauses, or the home of a
- * long prompt, that takes hardly any of them: they were strewn over all others.
+ * Guards against requests spread over all servers when the quiet server of
+ * light streams, or the home server of a long prompt, takes hardly any
+ * requests: they must move to one other server.
  */
 static void
 test_homes(void)
@@ -659,8 +663,8 @@
 }
 
 /*
- * Guards against less urgent requests that take what urgent ones need, where
- * all servers are in need; and against none of them being served at all.
+ * Guards against less urgent requests that take the rate that urgent ones need
+ * when all servers are limited, and against less urgent ones that starve.
  */
 static void
 test_tiers(void)
@@ -680,15 +684,15 @@
 			sum[k] += w.by_kind[k][i];
 	g_test_message("less urgent %u, urgent %u", sum[0], sum[1]);
 	g_assert_cmpuint(sum[1], >, 2 * sum[0]);
-	/* Both are asked for as often. */
+	/* Requests of both kinds are equally frequent. */
 	g_assert_cmpuint(sum[0] * 4 * KINDS, >=, sum[0] + sum[1]);
 	g_assert_cmpfloat(sum[0] + sum[1], >=, 20 * 3 * SERVERS * USED_PART);
 	world_finish(&w);
 }
 
 /*
- * Guards against a server that is given all that the others do not take: its
- * queue is not seen beside theirs, which are empty.
+ * Guards against a server overloaded with all requests beyond the others'
+ * limits: its long queue was hidden in the average with their empty ones.
  */
 static void
 test_last_server(void)
@@ -704,13 +708,13 @@
 	w.turned_away = w.placed = 0;
 	world_run(&w, 10000, 60);
 	g_test_message("placed %u, turned away %u", w.placed, w.turned_away);
-	/* Long prompts are half of 600, and it reads 16 a second. */
+	/* Of 600 requests half are long prompts; it processes 16 a second. */
 	g_assert_cmpuint(w.turned_away, >, 60);
 	g_assert_cmpint(w.free_at[0] - w.now, <, 5000);
 	world_finish(&w);
 }
 
-/* Guards against an answer that another has overtaken, and a new process. */
+/* Guards against limits of reordered answers and of an earlier process. */
 static void
 test_newest(void)
 {
--- a/tests/test-place.c
+++ b/tests/test-place.c
@@ -1,6 +1,7 @@
 /*
- * Placement over several nodes with messages that take time or are lost, in
- * virtual time.
+ * Tests place.c, the choice of a server for each request, over several nodes in
+ * virtual time, with delayed and lost messages. (placement.c, which loads
+ * models on engines, is tested in test-placement.c.)
  */
 
 #include "place.h"
@@ -16,10 +17,10 @@
 	struct place place;
 	struct servers servers;
 	name_id id;
-	bool cut;     /* gets and sends nothing */
-	bool leaving; /* finishes what it has, and coordinates nothing */
-	msec began;   /* its process */
-	bool back;    /* it has begun again, and odd nodes have not heard */
+	bool cut;     /* cut off: receives and sends nothing */
+	bool leaving; /* finishes its requests and does not coordinate */
+	msec began;   /* start of its process */
+	bool back; /* restarted, and not yet in the membership of odd nodes */
 	unsigned int decided;
 	struct server *last;
 	msec decided_at;
@@ -97,7 +98,7 @@
 
 static const struct server_ops server_ops = { server_changed, server_changed };
 
-/* What a node has heard of the others. */
+/* Gives a node its current membership. */
 static void
 node_hears(struct node *to)
 {
@@ -125,7 +126,7 @@
 	}
 }
 
-/* A node's process ends and begins again; it knows nothing. */
+/* Restarts a node's process, which loses its state. */
 static void
 node_restart(struct node *n)
 {
@@ -190,7 +191,7 @@
 	g_rand_free(rnd);
 }
 
-/* Let time pass: messages are handed over, timers looked after. */
+/* Runs for `span` ms: delivers messages and runs timers. */
 static void
 fleet_run(msec span)
 {
@@ -234,8 +235,8 @@
 }
 
 /*
- * All nodes send at once, each one long prompt after the other. By their own
- * knowledge they pile up on some servers; by the coordinator's they are even.
+ * Guards against an uneven load when all nodes send long prompts at once: if
+ * each node decided by its own requests alone, some servers would get too many.
  */
 static void
 test_even(void)
@@ -258,7 +259,7 @@
 			most = MAX(most, v->all.running);
 	}
 	g_assert_cmpuint(most, ==, 8);
-	/* All are counted off again. */
+	/* All counts return to 0. */
 	for (i = 0; i < G_N_ELEMENTS(r); i++) {
 		place_read(&nodes[i % 8].place, clock_now, &r[i]);
 		place_end(
@@ -276,7 +277,7 @@
 	fleet_stop();
 }
 
-/* One prompt, asked for everywhere: read on one server, not on eight. */
+/* Guards against a prompt of all nodes that several servers process. */
 static void
 test_one_reader(void)
 {
@@ -297,7 +298,7 @@
 	fleet_stop();
 }
 
-/* The node that coordinates for a request: it alone decides at once. */
+/* The index of the coordinator, the only node that decides at once. */
 static unsigned int
 coordinator_index(void)
 {
@@ -320,8 +321,9 @@
 }
 
 /*
- * The coordinator is cut off: a request waits some milliseconds, then its own
- * node decides; after a few of those nobody asks for a while.
+ * Guards against delays when the coordinator is cut off: after some
+ * milliseconds the node decides by itself, and after a few timeouts it stops
+ * polling the coordinator for a while.
  */
 static void
 test_coordinator_lost(void)
@@ -345,7 +347,7 @@
 	}
 	g_assert_cmpint(most, <=, 80);
 	g_assert_cmpuint(nodes[n].place.counters.asked, <, 12);
-	/* The membership hears of it: another one coordinates. */
+	/* The membership changes, and another node coordinates. */
 	fleet_nodes();
 	fleet_run(1500);
 	nodes[n].place.counters.alone = 0;
@@ -357,8 +359,8 @@
 }
 
 /*
- * A coordinator stops in good order: the next one hears what runs, and does
- * not take full servers for empty ones.
+ * Guards against a new coordinator that treats full servers as idle: the other
+ * nodes must report their running requests to it.
  */
 static void
 test_handover(void)
@@ -390,7 +392,7 @@
 	fleet_stop();
 }
 
-/* What a coordinator does not hear of again is forgotten. */
+/* Guards against counts that remain when nodes no longer renew them. */
 static void
 test_node_dies(void)
 {
@@ -416,9 +418,9 @@
 }
 
 /*
- * Servers crash. Each node that sends to one is refused and must learn it for
- * itself, and a request that may be sent twice only meets two of them: the
- * coordinator hears of the first refusal and sends nobody there any more.
+ * Guards against a crashed server that each node has to find by itself: the
+ * coordinator must stop choosing it after the first reported failure. A request
+ * that may be sent only twice could otherwise meet two crashed servers.
  */
 static void
 test_down(void)
@@ -445,12 +447,13 @@
 			    &nodes[i % 8].place, clock_now, &r, SERVER_WELL);
 		}
 	}
-	/* 2,000 ms: tried again now and then, not by each node. */
+	/* In 2,000 ms it is tried again now and then, not by each node. */
 	g_assert_cmpuint(hits, <=, 4);
 	fleet_stop();
 }
 
-/* A choice of the coordinator's that we know to be draining is not taken. */
+/* Guards against the coordinator's choice of a locally known draining server.
+ */
 static void
 test_draining(void)
 {
@@ -462,7 +465,7 @@
 	n = 1 - coordinator_index();
 	servers_find(&nodes[n].servers, name_hash("s0"))->state =
 	    SERVER_DRAINING;
-	/* The coordinator has not heard of it, and says s0 for some. */
+	/* The coordinator's state is older, so it chooses s0 for some. */
 	for (prompt = 1; prompt <= 16; prompt++) {
 		request_fill(&r, prompt, 100);
 		place_submit(&nodes[n].place, clock_now, &r);
@@ -476,8 +479,8 @@
 }
 
 /*
- * At 60 nodes and 600 servers no node hears of all requests, and a request
- * costs the same few messages.
+ * Guards against costs that grow with the fleet: with 60 nodes and 600 servers,
+ * no node coordinates all requests, and a request takes a few messages.
  */
 static void
 test_large(void)
@@ -505,10 +508,10 @@
 }
 
 /*
- * Sixty nodes fill two servers, so each node hears little of them. A request
- * that joins the queue is told how much is read before it: its node would
- * else take the server for dead, send the request elsewhere, and have its
- * prompt read again there, which makes the queues longer.
+ * Guards against a node that treats a busy server as dead: with 60 nodes and
+ * two servers, each node receives few answers. The node must get the expected
+ * wait of a queued request; otherwise it sends the request elsewhere, where its
+ * prompt is processed again and makes the queues longer.
  */
 static void
 test_busy_is_told(void)
@@ -522,7 +525,7 @@
 		place_submit(&nodes[i].place, clock_now, &r[i]);
 		fleet_run(5);
 	}
-	/* 30 prompts each; 60 tokens are read in a ms. */
+	/* 30 prompts per server, at 60 tokens per ms. */
 	g_assert_cmpint(r[59].queue.wait, >=, 2500);
 	g_assert_cmpint(r[59].queue.wait, <=, 3100);
 	g_assert_cmpint(r[1].queue.wait, <=, 200);
@@ -540,7 +543,7 @@
 	r->wish.target = 2500;
 }
 
-/* Requests end in time though the limit was near. */
+/* Requests that begin near the limit are in time. */
 static void
 service_has_room(void)
 {
@@ -562,7 +565,7 @@
 	}
 }
 
-/* Requests that are let in end late, one after the other. */
+/* `times` admitted requests are late, one after the other. */
 static void
 service_is_late(unsigned int times)
 {
@@ -582,7 +585,7 @@
 	}
 }
 
-/* Of 40 prompts of 100 ms each at four servers: how many are turned away? */
+/* Sends 40 prompts of 100 ms to four servers; returns how many are refused. */
 static unsigned int
 away_of_forty(struct place_request *r)
 {
@@ -609,11 +612,11 @@
 }
 
 /*
- * Three times the load: prompts queue at all servers of a group, and streams
- * beside the reading are late. Who comes then is told so, before more is sent
- * than can be read; a more urgent request is not, as servers read it first;
- * nor is one that meets a single busy server on a quiet day. Servers that do
- * all in time have the same queue and nobody is turned away.
+ * Guards against overloaded servers: when prompts queue at all servers of a
+ * group and requests are late, further requests are refused. Not refused are a
+ * more urgent request, which servers process first, one that meets a single
+ * busy server under low load, and requests with the same queue if all are in
+ * time.
  */
 static void
 test_turned_away(void)
@@ -624,12 +627,12 @@
 
 	fleet_start(8, 4);
 	service_has_room();
-	/* 1,000 ms ahead of the last, with a target of 2,500. */
+	/* The last has 1,000 ms ahead of it, with a target of 2,500. */
 	g_assert_cmpuint(away_of_forty(r), ==, 0);
 	end_forty(r);
 	service_is_late(20);
 	away = away_of_forty(r);
-	/* 300 ms are ahead after twelve. */
+	/* After twelve, 300 ms are queued at each server. */
 	g_assert_cmpuint(away, >=, 22);
 	g_assert_cmpuint(away, <=, 28);
 	request_fill(&urgent, 0, 1000);
@@ -659,33 +662,33 @@
 	fleet_stop();
 }
 
-/* ---- a load on servers that read ---- */
+/* ---- a load on servers with simulated prompt processing ---- */
 
 #define LOAD_TOKENS_PER_MS 93.6
 #define LOAD_STREAM_MS 300
 #define LOAD_REQUESTS 8192
 
-/* One kind of request of a load. */
+/* One kind of request of a load, with counts of its outcomes. */
 struct load_kind {
 	double per_s;
 	unsigned int rank, shared, own, subjects;
 	msec target, gap;
-	unsigned int asked, away, late; /* how they fared */
+	unsigned int asked, away, late;
 };
 
-/* One that was placed, on a server that reads. */
+/* A request at a simulated server. */
 struct load_request {
 	struct place_request place;
 	struct load_kind *kind;
 	struct node *node;
-	double unread; /* tokens */
+	double unread; /* tokens not yet processed */
 	msec sent, ends;
 	bool active;
 };
 
 static struct load_request load[LOAD_REQUESTS];
 
-/* What servers have read and keep, as pairs; NULL: they keep nothing. */
+/* Keys of server and prompt in the servers' caches; NULL: no caches. */
 static GHashTable *load_kept;
 
 static uint64_t
@@ -711,7 +714,7 @@
 		g_hash_table_add(load_kept, g_memdup2(&key, sizeof key));
 }
 
-/* A server reads the most urgent first, then what came first. */
+/* The next request that a server processes: the most urgent, then oldest. */
 static struct load_request *
 load_next(name_id server, unsigned int n)
 {
@@ -747,7 +750,7 @@
 	}
 }
 
-/* A node that callers are sent to. */
+/* A random node that accepts callers. */
 static struct node *
 load_node(void)
 {
@@ -781,7 +784,7 @@
 	place_submit(&q->node->place, clock_now, &q->place);
 }
 
-/* It is decided: it goes on, or is turned away. */
+/* The request starts at its server or is refused. */
 static void
 load_begin(struct place_request *r, struct server *v)
 {
@@ -809,7 +812,7 @@
 			load_submit(&load[(*n)++], &kinds[i]);
 	}
 	g_assert_cmpuint(*n, <, LOAD_REQUESTS - nkinds);
-	/* An answer is there after a round trip, of no length here. */
+	/* Messages arrive without delay. */
 	delay = 0;
 	fleet_run(1);
 	for (i = 0; i < *n; i++) {
@@ -865,7 +868,7 @@
 	g_clear_pointer(&load_kept, g_hash_table_unref);
 }
 
-/* Two tight kinds beside a long, lax, less urgent one; for ten seconds. */
+/* Runs a load for 10 s. */
 static void
 load_play(struct load_kind *kinds, unsigned int nkinds)
 {
@@ -875,10 +878,10 @@
 }
 
 /*
- * Notes of launches are wanted in 400 ms, reports of the season in 1,200, and
- * the servers are a sixth full. Callers saw their notes turned away, 4 ms
- * after they had asked, while reports of four times the size were let in: 48
- * ms of reading were more than 12% of the notes' own target.
+ * Guards against refused requests with short targets under low load. With
+ * servers at a sixth of their capacity, requests with a target of 400 ms were
+ * refused while prompts four times as long with a target of 1,200 ms were
+ * admitted: 48 ms of queued work were more than 12% of the shorter target.
  */
 static void
 test_tight_target(void)
@@ -899,8 +902,8 @@
 }
 
 /*
- * The same when reports come in far greater number than can be read: some of
- * these are turned away, and nobody more urgent is.
+ * The same when there are more of the least urgent prompts than the servers can
+ * process: some of these are refused, and no more urgent request is.
  */
 static void
 test_tight_target_overload(void)
@@ -916,11 +919,11 @@
 	g_assert_cmpuint(kinds[1].away, ==, 0);
 	g_assert_cmpuint(kinds[2].away, ==, 0);
 	g_assert_cmpuint(kinds[1].late * 20, <=, kinds[1].asked);
-	/* Of those let in, most are in time. */
+	/* Most of the admitted ones are in time. */
 	g_assert_cmpuint(kinds[0].late * 4, <=, kinds[0].asked - kinds[0].away);
 }
 
-/* The node that coordinates: the one that counts most. */
+/* The coordinator: the node with the highest counts. */
 static struct node *
 load_coordinator(void)
 {
@@ -941,7 +944,7 @@
 	return best;
 }
 
-/* Its process is killed: what it had ends with it, and nobody hears of it. */
+/* Kills a node: its requests end, and no other node is notified. */
 static void
 load_kill(struct node *n)
 {
@@ -954,13 +957,14 @@
 	}
 }
 
-/* How a kind fared between two points in time, in percent. */
+/* Percentage of refused requests between two points in time. */
 static unsigned int
 load_away(const struct load_kind *then, const struct load_kind *now)
 {
 	return 100 * (now->away - then->away) / (now->asked - then->asked);
 }
 
+/* Percentage of late requests among the admitted ones. */
 static unsigned int
 load_late(const struct load_kind *then, const struct load_kind *now)
 {
@@ -970,12 +974,11 @@
 }
 
 /*
- * A burst, and a part of the reports is turned away so that the others are
- * served in time. The VM that coordinates is killed. Until the others agree
- * that it is gone, each places by itself; callers saw that nobody was turned
- * away any more, queues of seconds at all servers, and their streams cut off
- * at the deadline, also long after. Who gets no answer turns away as large a
- * part as coordinators did a moment ago.
+ * Guards against overloaded servers after the coordinator is killed in a burst.
+ * Until the membership changes, each node decides by itself. Nodes then refused
+ * no requests any more, so queues grew to seconds and streams were cut off at
+ * their deadline, also long afterwards. Without an answer, a node must refuse
+ * the same proportion of requests as the coordinator did before.
  */
 static void
 test_burst_coordinator_killed(void)
@@ -1006,11 +1009,11 @@
 	    load_late(&start[0], &kinds[0]));
 	g_assert_cmpuint(load_away(&start[0], &kinds[0]) * 4, >=, before * 3);
 	g_assert_cmpuint(load_late(&start[0], &kinds[0]), <=, late_before + 15);
-	/* Who is more urgent is let in as before. */
+	/* More urgent requests are admitted as before. */
 	for (i = 1; i < G_N_ELEMENTS(kinds); i++)
 		g_assert_cmpuint(load_away(&start[i], &kinds[i]), ==, 0);
 
-	/* They agree: the next coordinator finds no queue of seconds. */
+	/* The membership changes: the next coordinator finds no long queues. */
 	fleet_nodes();
 	memcpy(start, kinds, sizeof start);
 	load_run(kinds, G_N_ELEMENTS(kinds), 2000);
@@ -1021,11 +1024,12 @@
 }
 
 /*
- * A VM that coordinated comes back after a restart, in a burst. News of it
- * takes seconds to reach all, so that half of the VMs asked it and half its
- * successor; each counted half of the load, and both let in twice what the
- * servers could read. It also knew nothing of what they had read. So it
- * coordinates once all must have heard of it.
+ * Guards against overload when a coordinator restarts during a burst. Its
+ * return takes seconds to reach all nodes, so half of them polled it and half
+ * polled its successor. Each counted half of the load, and both together
+ * admitted twice what the servers could process. It also had no record of the
+ * prompts that servers had cached. It may coordinate only when all nodes must
+ * have received its return.
  */
 static void
 test_burst_coordinator_returns(void)
@@ -1062,7 +1066,7 @@
 	g_assert_cmpuint(n->place.counters.coordinated, ==, 0);
 	g_assert_cmpuint(load_away(&start[0], &kinds[0]) * 4, >=, before * 3);
 
-	/* All have heard: it has its part again, and the others agree. */
+	/* All nodes have its return, and after a while it coordinates again. */
 	n->back = false;
 	fleet_nodes();
 	load_run(kinds, G_N_ELEMENTS(kinds), 1000);
@@ -1076,7 +1080,7 @@
 	load_stop();
 }
 
-/* How many of a route's requests a node counts as coordinator. */
+/* The number of running requests of a route that a coordinator counts. */
 static unsigned int
 node_counts(struct node *n, name_id route)
 {
@@ -1093,12 +1097,12 @@
 }
 
 /*
- * A VM that coordinates leaves while answers are streamed. Its successor hears
- * of them, but their prompts are read, and a request without a prompt to read
- * does not show what its kind is like: they were not counted. As each ended,
- * a younger one was counted off in its stead, so that few or no servers were
- * kept free for the kind with the short pauses. Callers saw the pauses of half
- * of its streams broken, of one in seven before.
+ * Guards against wrong counts after a handover of running streams. The
+ * successor of a coordinator that leaves receives the running streams, but did
+ * not count them, since their prompts were already processed. When they ended,
+ * it subtracted later requests instead, and so kept too few quiet servers for
+ * the route with short pauses: half of its streams exceeded their pause, one in
+ * seven before.
  */
 static void
 test_handover_of_streams(void)
@@ -1129,7 +1133,7 @@
 		place_submit(&nodes[i % 8].place, clock_now, &young[i]);
 		fleet_run(5);
 		place_read(&nodes[i % 8].place, clock_now, &young[i]);
-		/* As many run as before. */
+		/* The number of running requests is the same as before. */
 		if (i == 1)
 			g_assert_cmpuint(node_counts(n, 1), ==, 80);
 		place_end(&nodes[i % 8].place, clock_now, &old[i], SERVER_WELL);
@@ -1146,9 +1150,9 @@
 }
 
 /*
- * A request is turned away after it was placed, or given up in the queue: its
- * prompt was never read. The next with that prompt counts as one that has to
- * read it, and what another has read meanwhile is not forgotten.
+ * Guards against a prompt that counts as cached though its request was refused
+ * or abandoned before the server processed it. A prompt that another request
+ * has processed meanwhile must stay cached.
  */
 static void
 test_never_read(void)
@@ -1165,7 +1169,7 @@
 		unread = 0;
 		RB_FOREACH (v, server_tree, &nodes[0].servers.tree)
 			unread += v->all.unread;
-		/* The first is turned away; the second reads it. */
+		/* The first ends unprocessed; the second is processed. */
 		g_assert_cmpuint(unread, ==, i < 2 ? 13100 : 100);
 		if (i > 0)
 			place_read(&nodes[0].place, clock_now, &r);
@@ -1174,7 +1178,7 @@
 	fleet_stop();
 }
 
-/* Baselines use all servers, avoid those tried, and ask nobody. */
+/* Baselines use all servers, avoid tried ones and send no messages. */
 static void
 test_baselines(void)
 {
