--- a/tests/test-dispatch-faults.c
+++ b/tests/test-dispatch-faults.c
@@ -123,7 +123,7 @@
 	for (i = REPLAN; i <= DRAFT; i++) {
 		g_assert_cmpuint(t->came[i], >, 0);
 		part = t->well[i] / (double)t->came[i];
-		g_test_message("%s: %u came, attained %.4f, refused %u, "
+		g_test_message("%s: %u arrived, attained %.4f, refused %u, "
 			       "failed %u",
 		    world_classes_usual[i].name, t->came[i], part,
 		    t->refused[i], t->failed[i]);
@@ -132,7 +132,7 @@
 			g_assert_cmpuint(t->failed[i], ==, 0);
 	}
 	g_assert_cmpuint(t->refused[REPLAN], ==, 0);
-	g_test_message("wasted %.4f", t->wasted / t->made);
+	g_test_message("wasted part of tokens %.4f", t->wasted / t->made);
 	if (story->wasted > 0)
 		g_assert_cmpfloat(t->wasted / t->made, <, story->wasted);
 }
@@ -276,7 +276,8 @@
 	}
 	/* The last of them end and are counted. */
 	world_run(w, 60000);
-	g_test_message("quiet organisation: %u of %u attained; flood: %u of %u",
+	g_test_message(
+	    "organisation 5: %u of %u attained; organisation 0: %u of %u",
 	    w->org_attained[5], w->org_arrived[5], w->org_attained[0],
 	    w->org_arrived[0]);
 	g_assert_cmpuint(w->org_arrived[5], ==, 200);
@@ -527,8 +528,8 @@
 	g_assert_cmpuint(slots_limit(&s), ==, 8);
 	slots_stalled(&s, 2000, 3, 3);
 	g_assert_cmpuint(slots_limit(&s), ==, 8);
-	/* With one stream running, the stalled ones must be queued in the
-	 * engine. */
+	/* Since one stream makes progress, the others are queued in the engine.
+	 */
 	slots_stalled(&s, 3000, 4, 3);
 	g_assert_cmpuint(slots_limit(&s), ==, 1);
 }
--- a/tests/test-place-changes.c
+++ b/tests/test-place-changes.c
@@ -181,7 +181,7 @@
 	before = world_kept(w);
 	servers_to(w, MANY);
 	after = world_kept(w);
-	g_test_message("kept %.3f, then %.3f", before, after);
+	g_test_message("cached part %.3f, then %.3f", before, after);
 	g_assert_cmpfloat(
 	    after, >=, before - groups_uneven(w, FEW, MANY) - DRAWN);
 }
@@ -228,7 +228,7 @@
 	world_warm(&w);
 	servers_to(&w, FEW);
 	after = world_kept(&w);
-	g_test_message("kept %.3f", after);
+	g_test_message("cached part %.3f", after);
 	g_assert_cmpfloat(after, >=,
 	    (double)FEW / MANY - groups_uneven(&w, MANY, FEW) - DRAWN);
 	world_finish(&w);
--- a/tests/test-place-rate.c
+++ b/tests/test-place-rate.c
@@ -351,7 +351,8 @@
 {
 	unsigned int most = arrivals_most(w, server, from);
 
-	g_test_message("rate %g: %u in the worst %d ms", rate, most, WINDOW_MS);
+	g_test_message(
+	    "rate %g: at most %u arrivals in %d ms", rate, most, WINDOW_MS);
 	g_assert_cmpfloat(most, <=, 1.5 * rate * WINDOW_MS / MSEC_SECOND + 5);
 }
 
@@ -431,7 +432,7 @@
 	/* Each WINDOW_MS contains all the rates. */
 	check_bound(&w, 0, takes / 40, from);
 	used = arrivals_since(&w, 0, from) / takes;
-	g_test_message("used %.2f", used);
+	g_test_message("used part %.2f", used);
 	world_finish(&w);
 	return used;
 }
@@ -656,7 +657,8 @@
 		world_run(&w, 10000, 30);
 		other = kind_home(&w, kind, &part);
 		g_assert_cmpuint(other, !=, home);
-		g_test_message("kind %u: %.2f at one other", kind, part);
+		g_test_message(
+		    "kind %u: part %.2f at one other server", kind, part);
 		g_assert_cmpfloat(part, >, 0.6);
 		world_finish(&w);
 	}
@@ -707,7 +709,7 @@
 	world_run(&w, 10000, 60);
 	w.turned_away = w.placed = 0;
 	world_run(&w, 10000, 60);
-	g_test_message("placed %u, turned away %u", w.placed, w.turned_away);
+	g_test_message("placed %u, refused %u", w.placed, w.turned_away);
 	/* Of 600 requests half are long prompts; it processes 16 a second. */
 	g_assert_cmpuint(w.turned_away, >, 60);
 	g_assert_cmpint(w.free_at[0] - w.now, <, 5000);
--- a/tests/test-place.c
+++ b/tests/test-place.c
@@ -1004,7 +1004,7 @@
 	load_kill(load_coordinator());
 	memcpy(start, kinds, sizeof start);
 	load_run(kinds, G_N_ELEMENTS(kinds), 2000);
-	g_test_message("away %u%% late %u%%, then %u%% and %u%%", before,
+	g_test_message("refused %u%% late %u%%, then %u%% and %u%%", before,
 	    late_before, load_away(&start[0], &kinds[0]),
 	    load_late(&start[0], &kinds[0]));
 	g_assert_cmpuint(load_away(&start[0], &kinds[0]) * 4, >=, before * 3);
@@ -1017,7 +1017,7 @@
 	fleet_nodes();
 	memcpy(start, kinds, sizeof start);
 	load_run(kinds, G_N_ELEMENTS(kinds), 2000);
-	g_test_message("with the next: away %u%% late %u%%",
+	g_test_message("with the next coordinator: refused %u%% late %u%%",
 	    load_away(&start[0], &kinds[0]), load_late(&start[0], &kinds[0]));
 	g_assert_cmpuint(load_late(&start[0], &kinds[0]), <=, late_before + 15);
 	load_stop();
@@ -1060,8 +1060,9 @@
 	fleet_nodes();
 	memcpy(start, kinds, sizeof start);
 	load_run(kinds, G_N_ELEMENTS(kinds), 3000);
-	g_test_message("away %u%%, then %u%% late %u%%, it placed %u", before,
-	    load_away(&start[0], &kinds[0]), load_late(&start[0], &kinds[0]),
+	g_test_message("refused %u%%, then %u%% late %u%%, coordinated %u",
+	    before, load_away(&start[0], &kinds[0]),
+	    load_late(&start[0], &kinds[0]),
 	    (unsigned int)n->place.counters.coordinated);
 	g_assert_cmpuint(n->place.counters.coordinated, ==, 0);
 	g_assert_cmpuint(load_away(&start[0], &kinds[0]) * 4, >=, before * 3);
