--- a/tests/test-answer.c
+++ b/tests/test-answer.c
@@ -56,8 +56,7 @@
 	answer_finish(&a);
 }
 
-/* Guards against an engine that fills the memory while its caller reads slowly.
- */
+/* Guards against an engine that fills the memory while the caller is slow. */
 static void
 test_held_back(void)
 {
--- a/tests/test-dispatch-faults.c
+++ b/tests/test-dispatch-faults.c
@@ -92,7 +92,7 @@
 
 /* A scenario, and the bounds on its totals. */
 struct story {
-	/* Calls start() and runs until the end of the measurement. */
+	/* Starts the load and runs until the end of the measurement. */
 	void (*run)(struct world *, struct world_config *);
 	double least[3]; /* attained part of a class; 0: any */
 	double wasted;	 /* wasted part of the tokens, at most; 0: any */
@@ -324,8 +324,7 @@
 		some[i].domain = w->nodes[i].domain + 1;
 		some[i].takes_work = true;
 	}
-	/* For 10 s, half of the nodes have a membership without the other half.
-	 */
+	/* For 10 s, three nodes have a membership of only themselves. */
 	for (i = 0; i < 3; i++)
 		dispatch_set_nodes(&w->nodes[i].d, (msec)w->now, some, 3);
 	world_after(w, 10000, split_end);
@@ -528,8 +527,7 @@
 	g_assert_cmpuint(slots_limit(&s), ==, 8);
 	slots_stalled(&s, 2000, 3, 3);
 	g_assert_cmpuint(slots_limit(&s), ==, 8);
-	/* Since one stream makes progress, the others are queued in the engine.
-	 */
+	/* One stream progresses, so the others are queued in the engine. */
 	slots_stalled(&s, 3000, 4, 3);
 	g_assert_cmpuint(slots_limit(&s), ==, 1);
 }
--- a/tests/test-place-rate.c
+++ b/tests/test-place-rate.c
@@ -33,7 +33,7 @@
 struct request {
 	struct place_request place;
 	struct node *node;
-	msec answers, ends; /* due times; `answers` is MSEC_NEVER afterwards */
+	msec answers, ends; /* due times; MSEC_NEVER: none */
 };
 
 struct world {
--- a/tests/test-place.c
+++ b/tests/test-place.c
@@ -452,8 +452,7 @@
 	fleet_stop();
 }
 
-/* Guards against the coordinator's choice of a locally known draining server.
- */
+/* Guards against the use of a draining server that the coordinator chose. */
 static void
 test_draining(void)
 {
--- a/tests/test-request.c
+++ b/tests/test-request.c
@@ -331,8 +331,7 @@
 	case 10:
 		if (g_rand_int_range(rng, 0, 10) != 0)
 			break;
-		/* The server may run the request although the caller has left.
-		 */
+		/* The server may still run the request. */
 		if (p->slot)
 			p->executions++;
 		p->waiting = false;
--- a/tests/test-route.c
+++ b/tests/test-route.c
@@ -125,8 +125,7 @@
 	route_table_drop(t);
 }
 
-/* With more pairs of priorities than ranks, some pairs share a rank in order.
- */
+/* With more pairs of priorities than ranks, neighbours share a rank. */
 static void
 test_rank_many(void)
 {
--- a/tests/test-server.c
+++ b/tests/test-server.c
@@ -117,7 +117,8 @@
 	g_assert_cmpint(state_of(&s, "a"), ==, SERVER_GONE);
 	g_assert_cmpint(state_of(&s, "b"), ==, SERVER_DRAINING);
 	g_assert_cmpint(state_of(&s, "c"), ==, SERVER_READY);
-	/* The mark covers the listed entry, as at nodes without a doubt. */
+	/* The mark includes the listed entry, as at nodes that trust the list.
+	 */
 	g_assert_cmpuint(again, !=, gone);
 	servers_unlist(&s, 2000, "a");
 	g_assert_cmpuint(servers_mark(&s), ==, gone);
