--- a/tests/test-cmd.c
+++ b/tests/test-cmd.c
@@ -1,6 +1,6 @@
 /*
- * The tool without its input and output: command lines, verdicts of edits and
- * their exit codes, diffs, what nodes say together, streams and metrics.
+ * The command-line tool without its I/O: command lines, verdicts on edits and
+ * their exit codes, diffs, combined reports of nodes, streams and metrics.
  */
 
 #include "cmd.h"
@@ -18,7 +18,7 @@
 	"0123456789abcdef0123456789abcdef0123456789abcdef0123456789abcdef}]" \
 	"\n" rest
 
-/* Parse a command line given as one string. */
+/* Parses a command line given as one string. */
 static bool
 parse(struct cmd *c, const char *line)
 {
@@ -26,7 +26,7 @@
 	bool ok = cmd_parse(c, (int)g_strv_length(argv), argv, FLAGS);
 	unsigned int i;
 
-	/* What was parsed points into argv; keep it for the test. */
+	/* The parsed command points into argv, so argv is kept for the test. */
 	for (i = 0; i < c->nargs; i++)
 		c->args[i] = g_intern_string(c->args[i]);
 	for (i = 0; i < CMD_OPTIONS_MAX; i++)
@@ -36,7 +36,7 @@
 	return ok;
 }
 
-/* Parse a command line that has to be right. */
+/* Parses a command line that must be valid. */
 static void
 parse_good(struct cmd *c, const char *line)
 {
@@ -118,9 +118,9 @@
 {
 	/*
 	 * Two operators edit version 1 at the same moment. Both appends
-	 * succeed; the log's order makes one the winner. The other one's tool
-	 * must say "conflict", show the winner, and say the same when the
-	 * publication is tried again with its id.
+	 * succeed; the order in the log decides which wins. The tool of the
+	 * other one must print "conflict", show the winning edit, and do the
+	 * same when the publication is tried again with its id.
 	 */
 	char a[LOG_ID_SIZE], b[LOG_ID_SIZE], c[LOG_ID_SIZE], d[LOG_ID_SIZE];
 	struct edits e;
@@ -151,9 +151,9 @@
 test_verdict_of_aged_log(void)
 {
 	/*
-	 * The log has dropped the edit in force before a checkpoint followed,
-	 * and an operator publishes. Whether the base was in force can't be
-	 * known from the log: the tool says "unknown", not "accepted".
+	 * The log dropped the edit in force before a checkpoint followed, and
+	 * an operator publishes. The log no longer shows whether the base was
+	 * in force, so the result is "unknown", not "accepted".
 	 */
 	char id[LOG_ID_SIZE];
 	struct edits e;
@@ -187,7 +187,7 @@
 	    "@@ -6,4 +7,3 @@\n 6\n 7\n 8\n-9\n");
 }
 
-/* Apply a diff made with full context: the '-' or the '+' side of it. */
+/* Returns the '-' or the '+' side of a diff with full context. */
 static char *
 diff_side(const char *diff, char sign)
 {
@@ -195,7 +195,7 @@
 	GString *s = g_string_new(NULL);
 	unsigned int i;
 
-	/* Equal texts have no diff, not even its two head lines. */
+	/* Equal texts have no diff, not even its two header lines. */
 	for (i = 2; i < g_strv_length(lines); i++) {
 		if (*lines[i] == ' ' || *lines[i] == sign)
 			g_string_append_printf(s, "%s\n", lines[i] + 1);
@@ -203,7 +203,7 @@
 	return g_string_free(s, FALSE);
 }
 
-/* Of any two short texts, the diff holds both. */
+/* The diff of any two short texts contains both. */
 static void
 test_diff_random(void)
 {
@@ -251,9 +251,9 @@
 test_in_force(void)
 {
 	/*
-	 * A document was accepted as version 9. One node still has 7, one
-	 * does not answer and one is dead: "in force on 1 of 3", and the two
-	 * that lag are named; the dead one is no part of the system.
+	 * A document was accepted as version 9. One node still has 7, one does
+	 * not answer and one is dead: "in force on 1 of 3", and the two that
+	 * lag are named. The dead one does not count.
 	 */
 	g_autofree char *text = NULL;
 	json_t *members, *statuses, *lines;
@@ -293,7 +293,10 @@
 	g_string_append(arg, text);
 }
 
-/* An answer in pieces of `step` bytes; its exit code, and its text. */
+/*
+ * Reads an answer in pieces of `step` bytes; returns the exit code and the
+ * text.
+ */
 static enum cmd_retval
 stream(const char *headers, const char *body, long status, size_t step,
     const char *want)
@@ -325,9 +328,9 @@
 test_send(void)
 {
 	/*
-	 * An answer breaks off after two tokens: the connection ends without
-	 * the last event. What came looks like a short answer; the caller
-	 * must be told "unknown", and "ran" only of a whole one.
+	 * An answer breaks off after two tokens: the connection closes before
+	 * the last event. The part received looks like a short answer; the
+	 * result must be "unknown", and "ran" only for a complete answer.
 	 */
 	static const char whole[] = TOKEN("a ") TOKEN("b ") "data: [DONE]\n\n";
 	static const char broken[] = TOKEN("a ") TOKEN("b ");
@@ -364,7 +367,7 @@
 	g_assert_cmpint(stream("X: y\r\n", "", 0, 1, ""), ==, CMD_UNKNOWN);
 }
 
-/* A request that was not run, and nothing says why. */
+/* A request that was not run, with no reason given. */
 static void
 test_send_code(void)
 {
--- a/tests/test-directory.c
+++ b/tests/test-directory.c
@@ -1,6 +1,6 @@
 /*
- * The entry directory: who is offered to callers, and how callers spread when
- * they keep their answers and loads are known late.
+ * The entry directory: which VMs are offered to callers, and how callers spread
+ * over them when they keep their answers and loads are known late.
  */
 
 #include "directory.h"
@@ -29,7 +29,7 @@
 static const struct member_ops ops = { op_send, op_changed };
 static char names[NODES][NAME_SIZE], domains[NODES][NAME_SIZE];
 
-/* A probe from node i with its load, and with news about it. */
+/* A probe from node i with its load and with updates about it. */
 static void
 town_hear(
     struct town *t, unsigned int i, sp_member_state state, unsigned int load)
@@ -51,7 +51,7 @@
 	    &t->members, t->now, name_hash(names[i]), 1, 1 + i, 7000, &msg);
 }
 
-/* Node 0 is ourselves. Domains are hall-0 to hall-2. */
+/* Node 0 is the local node. Domains are hall-0 to hall-2. */
 static void
 town_init(struct town *t, uint32_t seed)
 {
@@ -75,7 +75,7 @@
 	members_init(&t->members, &ops, &cfg, t->now);
 	for (i = 1; i < NODES; i++) {
 		town_hear(t, i, SP_ALIVE, 0);
-		/* The load counts once it is known who said it. */
+		/* The load counts once its sender is known as a member. */
 		t->now++;
 		town_hear(t, i, SP_ALIVE, 0);
 	}
@@ -95,9 +95,9 @@
 }
 
 /*
- * An operator stops a VM; another one crashes, a third is silent. A caller
- * that is told of any of them loses time or is refused. None may be offered,
- * as best or as alternate.
+ * An operator stops a VM, another one crashes, a third is unreachable. A caller
+ * that is sent to any of them loses time or is refused. None may be offered, as
+ * best or as alternate.
  */
 static void
 test_only_working(void)
@@ -127,7 +127,10 @@
 	town_finish(&t);
 }
 
-/* A member that has just started, and says that it is full, was offered. */
+/*
+ * Guards against offering a member that has just started and reports that it is
+ * full.
+ */
 static void
 test_not_full(void)
 {
@@ -144,7 +147,7 @@
 		directory_choose(&t.members, i % 2 ? "hall-1" : "", t.rand, &a);
 		g_assert_cmpuint(town_index(a.best), ==, NODES - 1);
 	}
-	/* One that is full is better than none. */
+	/* A full VM is better than none. */
 	town_hear(&t, NODES - 1, SP_LEAVING, 0);
 	directory_choose(&t.members, "", t.rand, &a);
 	g_assert_nonnull(a.best);
@@ -152,8 +155,8 @@
 }
 
 /*
- * We are leaving and cut off: everybody else is silent. A suspect is a better
- * address than none, but once they are dead there is none.
+ * The local node is leaving and partitioned from all others. A suspect is a
+ * better address than none, but once all others are held dead there is none.
  */
 static void
 test_nobody(void)
@@ -179,9 +182,9 @@
 }
 
 /*
- * Callers say which hall they are in. They get a VM of their hall while it is
- * about as loaded as the rest, and another when it is much more so. The first
- * alternate is mostly elsewhere, as a hall can fail as a whole.
+ * Callers name their failure domain. They get a VM in it while it is about as
+ * loaded as the rest, and another when it is much more loaded. The first
+ * alternate is mostly in another domain, as a domain can fail as a whole.
  */
 static void
 test_domain(void)
@@ -236,10 +239,10 @@
 }
 
 /*
- * All dispatchers come at dawn within two seconds, keep their answer for its
- * lifetime, and ask again; loads are known a second late. If the least loaded
- * VM were told to all, it would get a whole second's callers and the next
- * one the next second's: the herd. Measured as the most over the mean.
+ * All callers arrive within two seconds, keep their answer for its lifetime and
+ * ask again; loads are known a second late. If all were given the least loaded
+ * VM, it would get a whole second's callers, and the next VM those of the next
+ * second (thundering herd). Measured as the maximum load over the mean.
  */
 static void
 test_no_herd(void)
@@ -261,7 +264,7 @@
 			worst = MAX(worst, busiest * 100 * NODES / CALLERS);
 		if (step % 10 != 0)
 			continue;
-		/* What was so a second ago is heard of now. */
+		/* The load of a second ago is received now. */
 		for (i = 0; i < NODES; i++) {
 			if (i == 0)
 				members_set_self(&t.members, 0, reported[i]);
--- a/tests/test-doc-fold.c
+++ b/tests/test-doc-fold.c
@@ -1,6 +1,6 @@
 /*
- * The fold of service documents: single records, then generated streams read
- * by many folds.
+ * The fold of service documents: single records first, then generated streams
+ * that many folds read.
  */
 
 #define LOG_PART "test"
@@ -19,7 +19,7 @@
 #define FOLDS_MAX 24
 #define SEEDS 100
 
-/* A log in memory; offset N is at N - 1. */
+/* A log in memory; the record at offset N is at index N - 1. */
 struct stream {
 	char *records[STREAM_MAX];
 	unsigned int n;
@@ -108,9 +108,9 @@
 test_conflict(void)
 {
 	/*
-	 * Two operators open version 1 and publish within the same
-	 * second. Without a rule the later one would silently undo the other's
-	 * edit. The first on the log wins; the second is told of the winner.
+	 * Two operators open version 1 and publish within the same second. The
+	 * later publication must not silently undo the first: the first on the
+	 * log wins, and the second operator learns of the winner.
 	 */
 	struct stream s = { 0 };
 	struct doc_fold f;
@@ -133,9 +133,9 @@
 test_repeat(void)
 {
 	/*
-	 * The log takes an edit, its answer is lost, and the tool sends it
-	 * again after a colleague's edit. The copy must neither come into
-	 * force again nor tell the operator "conflict" about an accepted edit.
+	 * The log appends an edit, its answer is lost, and the tool sends it
+	 * again after another operator's edit. The copy must neither come into
+	 * force again nor make an accepted edit a "conflict" for the operator.
 	 */
 	struct stream s = { 0 };
 	struct doc_fold f;
@@ -158,7 +158,9 @@
 static void
 test_refused(void)
 {
-	/* A text with findings, or of another service, is refused alike. */
+	/*
+	 * A text with findings, or one for another service, is refused as well.
+	 */
 	static const char *texts[] = { "service: [", "service: other" BODY,
 		"" };
 	struct doc_fold f;
@@ -180,7 +182,7 @@
 static void
 test_skipped(void)
 {
-	/* Records that this version can't read change nothing. */
+	/* Records that this version can't parse change nothing. */
 	static const char *records[] = { "", "{", "[]", "\xff\xfe",
 		"{\"format\":2,\"kind\":\"doc-edit\"}",
 		"{\"format\":1,\"kind\":\"doc-edit\",\"id\":\"x\"}",
@@ -211,10 +213,10 @@
 test_late_checkpoint(void)
 {
 	/*
-	 * A node writes a checkpoint of version 1 and stalls; an operator
-	 * publishes version 2; then the checkpoint lands. A node that starts
-	 * now reads only the checkpoint and what follows. Taking it at its
-	 * word would put version 1 in force again.
+	 * A node's checkpoint of version 1 is delayed and lands after version 2
+	 * was published. A node that starts now reads only the checkpoint and
+	 * what follows; trusting the checkpoint would put version 1 in force
+	 * again.
 	 */
 	struct stream s = { 0 };
 	struct doc_fold full, late;
@@ -230,7 +232,10 @@
 	g_assert_cmpint(fold_one(&full, &s, 3), ==, DOC_STALE);
 	g_assert_cmpuint(version_of(&full, "yard-app"), ==, 2);
 
-	/* From the edit on: the checkpoint is open, nothing is certain. */
+	/*
+	 * From the edit on: the checkpoint is unconfirmed, so nothing is
+	 * certain.
+	 */
 	doc_fold_gap(&late, 2);
 	g_assert_cmpint(fold_one(&late, &s, 2), ==, DOC_UNKNOWN);
 	g_assert_true(RB_EMPTY(&late.services));
@@ -238,7 +243,10 @@
 	g_assert_false(doc_fold_exact(&late));
 	g_assert_false(doc_fold_find(&late, "yard-app")->exact);
 
-	/* A fresh one settles it, also for one that starts after the edit. */
+	/*
+	 * A new checkpoint resolves this, also for a fold that starts after the
+	 * edit.
+	 */
 	stream_add(&s, checkpoint_make(&full, "yard-app"));
 	g_assert_cmpint(fold_one(&late, &s, 4), ==, DOC_CHECKPOINT);
 	g_assert_true(doc_fold_find(&late, "yard-app")->exact);
@@ -260,9 +268,10 @@
 test_index(void)
 {
 	/*
-	 * All VMs are replaced after the first records have aged out. An
-	 * operator publishes a new service. No node can tell whether it
-	 * existed before, so none may accept it, unless an index says so.
+	 * All VMs are replaced after the first records were dropped by
+	 * retention, and an operator publishes a new service. No node can tell
+	 * whether it existed before, so none may accept it unless an index
+	 * lists all services.
 	 */
 	struct stream s = { 0 };
 	struct doc_fold full, late;
@@ -294,10 +303,10 @@
 test_late_index(void)
 {
 	/*
-	 * A node writes an index, stalls, and a service is created before the
-	 * index lands. To a late reader that believed it, the service would
-	 * not exist, and a second creation would be accepted there and be a
-	 * conflict everywhere else.
+	 * A node's index is delayed, and a service is created before the index
+	 * lands. For a late reader that trusted the index, the service would
+	 * not exist: it would accept a second creation, which is a conflict on
+	 * every other node.
 	 */
 	struct stream s = { 0 };
 	struct doc_fold full, late;
@@ -329,9 +338,9 @@
 test_import(void)
 {
 	/*
-	 * A VM starts while the log is down. It takes what its peers hold,
-	 * goes on from there when the log is back, and a peer with a damaged
-	 * or older copy changes nothing.
+	 * A VM starts while the log is down. It takes over the state of its
+	 * peers and continues from there when the log is back; a peer with a
+	 * damaged or older copy changes nothing.
 	 */
 	struct stream s = { 0 };
 	struct doc_fold full, fresh, old;
@@ -373,9 +382,9 @@
 test_due(void)
 {
 	/*
-	 * The newest edit of a quiet service nears the age at which the log
-	 * drops it. Unless a checkpoint is written first, a VM that starts
-	 * afterwards finds no document at all.
+	 * The newest edit of a service without changes nears the age at which
+	 * the log drops it. Unless a checkpoint is written first, a VM that
+	 * starts afterwards finds no document.
 	 */
 	struct doc_edges e = { 1, 2, 1001, 10000 };
 	struct stream s = { 0 };
@@ -397,7 +406,7 @@
 	    doc_fold_apply(&f, 2, 7000, s.records[1], strlen(s.records[1])), ==,
 	    DOC_STALE);
 	g_assert_null(doc_fold_checkpoint_due(&f, &e));
-	/* Gone after all: due at once. */
+	/* The edit was dropped: a checkpoint is due at once. */
 	e.first = e.next = 3;
 	g_assert_true(doc_fold_checkpoint_due(&f, &e) == v);
 	doc_fold_finish(&f);
@@ -406,7 +415,9 @@
 
 static const char *services[] = { "yard-app", "planner-llm", "alert-desk" };
 
-/* Add one record of any kind to a stream that `f` has folded to its end. */
+/*
+ * Adds one record of a random kind to a stream that `f` has folded to its end.
+ */
 static void
 stream_grow(struct stream *s, struct doc_fold *f, GRand *rand, char **delayed)
 {
@@ -424,19 +435,19 @@
 	case 3: /* a wrong base */
 		stream_edit(s, service, g_rand_int_range(rand, 0, 3), s->n);
 		break;
-	case 4: /* once more, after a lost answer */
+	case 4: /* an edit sent again after a lost answer */
 		if (s->n > 0)
 			stream_add(s, strdup(s->records[g_rand_int_range(
 					  rand, 0, (gint32)s->n)]));
 		break;
-	case 5: /* bad text */
+	case 5: /* an invalid text */
 		log_id_make(id);
 		stream_add(s, doc_edit_encode(service, base, "op", "?", id));
 		break;
 	case 6:
 		stream_add(s, strdup("{\"format\":1,\"kind\":\"new\"}"));
 		break;
-	case 7: /* a checkpoint, maybe kept back */
+	case 7: /* a checkpoint, possibly delayed */
 		if (v == NULL)
 			break;
 		if (*delayed == NULL && g_rand_boolean(rand))
@@ -503,9 +514,9 @@
 }
 
 /*
- * One reader: starts somewhere, misses stretches to retention, re-reads what
- * it has, takes in what a peer exports. Its verdicts on edits are those of
- * the fold that has read everything, or "unknown".
+ * One reader: starts at a random offset, misses records dropped by retention,
+ * reads records again and imports state from a peer. Its verdicts on edits must
+ * equal those of the fold that has read everything, or be "unknown".
  */
 static unsigned int
 check_reader(const struct stream *s, GRand *rand, struct doc_fold *peer)
@@ -552,7 +563,9 @@
 	return judged;
 }
 
-/* Where a reader claims to be exact, it agrees with the one that read all. */
+/*
+ * A reader that reports exact state agrees with the fold that read everything.
+ */
 static void
 check_exact(const struct stream *s, struct doc_fold *f)
 {
@@ -580,11 +593,11 @@
 test_property(void)
 {
 	/*
-	 * Nodes start at any time, miss records to retention, learn from
-	 * checkpoints that were late or doubled and from each other. If two of
-	 * them came to different verdicts on one edit, two documents would be
-	 * in force at once, which callers see as a class that exists on one
-	 * VM and not on the next.
+	 * Nodes start at any time, miss records dropped by retention, and learn
+	 * from each other and from checkpoints that were late or duplicated. If
+	 * two of them reached different verdicts on one edit, two documents
+	 * would be in force at once, and callers would see a class on one VM
+	 * that does not exist on the next.
 	 */
 	struct stream s = { 0 };
 	struct doc_fold peer;
--- a/tests/test-document.c
+++ b/tests/test-document.c
@@ -1,6 +1,6 @@
 /*
- * The service document: the examples are right, and everything that is wrong
- * in a text is reported at once with its place.
+ * The service document: the examples are valid, and all errors in a text are
+ * reported at once with line and column.
  */
 
 #include "document.h"
@@ -130,9 +130,9 @@
 test_repeatable_default(void)
 {
 	/*
-	 * A team forgets to say whether calls to its booking service may be
-	 * repeated. A retry after a lost answer would book twice, so silence
-	 * means "no" for a plain service, and "yes" only for a model.
+	 * A document does not state whether calls to a booking service may be
+	 * repeated. A retry after a lost answer would book twice, so the
+	 * default is "no" for a plain service, and "yes" only for a model.
 	 */
 	static const char plain[] = "service: s\nkind: plain\n"
 				    "classes: [{name: c, tier: 0}]\n" ORGS;
@@ -157,9 +157,10 @@
 test_all_at_once(void)
 {
 	/*
-	 * An operator publishes a hurried edit during a burst. One finding a
-	 * run would cost them the morning; each slip comes with its line and
-	 * column in one run, and nothing of the document is taken.
+	 * An operator publishes an edit with several errors. If each run
+	 * reported only one, mending them would take as many runs; each is
+	 * reported with its line and column in one run, and nothing of the
+	 * document is used.
 	 */
 	check("service: Planner\n"
 	      "kind: modle\n"
@@ -247,9 +248,10 @@
 test_protected_below(void)
 {
 	/*
-	 * Re-plans are protected but stand a tier below driver questions. In
-	 * a burst the tiers would shed the re-plan and the protection would
-	 * forbid it; the contradiction is found before it is in force.
+	 * Re-plans are protected but have a lower tier than driver questions.
+	 * Under overload the tiers would shed the re-plan and the protection
+	 * would forbid it; the contradiction is reported before the document is
+	 * in force.
 	 */
 	check("service: s\nkind: plain\nclasses:\n"
 	      "  - {name: replan, tier: 1, protected: true}\n"
@@ -281,7 +283,7 @@
 {
 	/*
 	 * A text of 18 KB whose thousand organisations are all aliases of one
-	 * map of a thousand keys: a million nodes to walk, on each node at
+	 * map of a thousand keys: a million YAML nodes to walk, on each VM at
 	 * each publication. The walk ends at its bound with a finding.
 	 */
 	GString *s = g_string_new("service: s\nkind: plain\n"
@@ -324,7 +326,7 @@
 {
 }
 
-/* Any bytes at all end in findings, not in a crash or a hang. */
+/* Random bytes result in findings, not in a crash or a hang. */
 static void
 test_noise(void)
 {
--- a/tests/test-duration.c
+++ b/tests/test-duration.c
@@ -1,13 +1,13 @@
 /*
- * How long requests take: what is expected before any, after few, and when the
- * load changes.
+ * Expected durations of requests: without samples, after few samples, and when
+ * the load changes.
  */
 
 #include "duration.h"
 
 #define MOST 12000
 
-/* Nothing is known: the whole time that the caller gives may be needed. */
+/* Without samples, the whole timeout of the caller may be needed. */
 static void
 test_unknown(void)
 {
@@ -25,8 +25,8 @@
 }
 
 /*
- * Lengths as of generated answers: most short, a few ten times as long. Of
- * those still to come hardly any may take longer than what is said.
+ * Durations as of generated answers: most short, a few ten times as long.
+ * Hardly any of the following requests may take longer than expected.
  */
 static void
 test_long_tail(void)
@@ -48,11 +48,12 @@
 }
 
 /*
- * A caller's stream of 2.4 s was cut by a VM that had been told to stop 5.1 s
- * before it took the request: it had started 11 s before and seen 11 answers of
- * the kind, the first of them short, and went by 1.7 s. What the first answer
- * said of the spread still weighed half after ten more. After few answers no
- * more may take longer than after many.
+ * A stream of 2.4 s was cut off by a VM that had been stopped 5.1 s before it
+ * took the request. The VM had started 11 s before, had seen 11 answers of the
+ * kind, the first of them short, and expected 1.7 s: the first answer's part in
+ * the estimate of the spread still had half its weight after ten more. After
+ * few answers no more requests may exceed the expected duration than after
+ * many.
  */
 static void
 test_few(void)
@@ -76,7 +77,9 @@
 	g_assert_cmpuint(longer, <, 16000 / 100);
 }
 
-/* Servers turn three times as slow: within 40 requests it is known. */
+/*
+ * Servers become three times as slow: the estimate follows within 40 requests.
+ */
 static void
 test_slower(void)
 {
@@ -92,8 +95,8 @@
 }
 
 /*
- * Half of the requests end at their timeout. Those that were given up early say
- * nothing, those that were given up late that it takes longer.
+ * Half of the requests end at their timeout. Those that were given up early
+ * have no effect, those that were given up late raise the estimate.
  */
 static void
 test_given_up(void)
@@ -111,7 +114,7 @@
 	g_assert_cmpint(duration_most(&d, MOST), >, 2500);
 }
 
-/* Never more than the caller waits. */
+/* Never longer than the caller's timeout. */
 static void
 test_bounded(void)
 {
--- a/tests/test-duty.c
+++ b/tests/test-duty.c
@@ -1,12 +1,12 @@
 /*
- * One holder at a time. What a user would see when it goes wrong: two nodes
- * report different usage for one window, or order servers against each other;
- * or nobody does for long.
+ * A duty has one holder at a time. Failures that users would see: two nodes
+ * report different usage for one window or give servers contradictory orders,
+ * or nobody performs the duty for a long time.
  *
- * Nodes and a log in virtual time: appends take a while, are executed late or
- * lose their answers, nodes are killed, stand still, are cut from each other or
- * from the log. Each node acts whenever it may. Nothing checks the tokens. The
- * log may come back from an older copy of itself.
+ * Nodes and a log run in virtual time: appends take time, are executed late or
+ * lose their answers; nodes are killed, paused, or cut off from each other or
+ * from the log. Each node acts whenever it is permitted to. Nothing checks the
+ * tokens. The log may be restored from an older copy of itself.
  */
 
 #include "duty.h"
@@ -17,7 +17,7 @@
 #define NODES 7
 #define LEASE 3000
 #define STEP 20
-/* Nobody for longer after a kill: the lease, the margin, some turns. */
+/* Longest time without a holder after a kill: lease, margin, some ticks. */
 #define TAKEOVER_MOST (LEASE + 300 + 3 * 300 + 400)
 
 struct world;
@@ -26,8 +26,8 @@
 	struct duty duty;
 	struct world *world;
 	unsigned int index;
-	bool up, takes_work, cut,
-	    deaf; /* cut: from the log; deaf: from nodes */
+	bool up, takes_work, cut, deaf; /* cut: cannot reach the log; deaf:
+					   receives nothing from nodes */
 	msec asleep_until;
 	msec born;
 	struct era era;
@@ -42,14 +42,14 @@
 	EVENT_APPEND,
 	EVENT_ANSWER,
 	EVENT_MESSAGE,
-	EVENT_HEAR /* another answer of the log's store */
+	EVENT_HEAR /* another answer of the log's store arrives */
 };
 
 struct event {
 	msec at;
 	enum event_kind kind;
 	unsigned int node;
-	msec born; /* of the process that it is for */
+	msec born; /* start of the process that the event is for */
 	uint64_t place, offset, end, era;
 	bool claim, lost;
 	enum duty_result how;
@@ -64,13 +64,13 @@
 	GRand *rand;
 	msec now;
 	GList *events;
-	GArray *records; /* struct record, of the log */
+	GArray *records; /* struct record; contents of the log */
 	uint64_t era;
 	unsigned int late_permille, lost_permille;
 	bool down, rewinds;
-	/* What was done. */
+	/* The last actions, by any node. */
 	uint64_t token_acted;
-	unsigned int actor, before; /* nodes, plus 1 */
+	unsigned int actor, before; /* node index plus 1 */
 	msec acted_at, before_at;
 	unsigned int acts, changes;
 	msec longest_without, without_since;
@@ -188,7 +188,7 @@
 
 static const struct duty_ops ops = { op_append, op_look, op_send, op_changed };
 
-/* False: the answer is of an era that is over. */
+/* False if the answer belongs to an era that is over. */
 static bool
 node_hear(struct node *n, uint64_t era)
 {
@@ -259,7 +259,10 @@
 	g_rand_free(w->rand);
 }
 
-/* Back from a copy so many ms old; nodes that reach it hear so in time. */
+/*
+ * Restores the log from a copy of the given age in ms; nodes that reach it
+ * learn of the new era in time.
+ */
 static void
 log_rewind(struct world *w, msec age)
 {
@@ -324,7 +327,10 @@
 	}
 }
 
-/* The rules: tokens never go back, and never A, B, A within a lease. */
+/*
+ * Checks that tokens never decrease and that holders never alternate A, B, A
+ * within a lease.
+ */
 static void
 node_act(struct world *w, struct node *n, uint64_t token)
 {
@@ -363,7 +369,7 @@
 		w->events = g_list_delete_link(w->events, l);
 		event_do(w, e);
 		g_free(e);
-		/* It may have added others. */
+		/* Handling the event may have added others. */
 		next = w->events;
 	}
 	for (i = 0; i < NODES; i++) {
@@ -421,7 +427,10 @@
 	w->without_since = w->now;
 }
 
-/* Guards against a fleet that starts and has no holder, or changes it. */
+/*
+ * Guards against a fleet that has no holder after its start, or changes holders
+ * without need.
+ */
 static void
 test_start(void)
 {
@@ -435,7 +444,7 @@
 	world_finish(&w);
 }
 
-/* Guards against a duty that nobody takes after its holder was killed. */
+/* Guards against a duty that no node takes over after its holder was killed. */
 static void
 test_kill(void)
 {
@@ -452,7 +461,10 @@
 	}
 }
 
-/* Guards against a planned stop that leaves the duty alone for a lease. */
+/*
+ * Guards against a planned stop that leaves the duty without a holder for a
+ * lease.
+ */
 static void
 test_hand_over(void)
 {
@@ -473,7 +485,10 @@
 	}
 }
 
-/* Guards against a duty handed to a node that held it within the lease. */
+/*
+ * Guards against a duty handed to a node that has held it within the last
+ * lease.
+ */
 static void
 test_hand_over_back(void)
 {
@@ -495,8 +510,8 @@
 }
 
 /*
- * Guards against a duty that goes back within the lease to a VM whose process
- * was started anew meanwhile, and knows of nothing.
+ * Guards against a duty that returns within the lease to a VM whose process was
+ * restarted meanwhile and has lost its state.
  */
 static void
 test_hand_over_to_restarted(void)
@@ -512,7 +527,9 @@
 		node_kill(&w, h);
 		world_run(&w, LEASE - 1400);
 		node_start(&w, h);
-		/* Nobody else is there to take it when the next one leaves. */
+		/*
+		 * No other node can take the duty when the next holder leaves.
+		 */
 		for (i = 0; i < NODES; i++)
 			w.nodes[i].takes_work = i == h || w.nodes[i].takes_work;
 		while (holder_of(&w) == NODES)
@@ -529,7 +546,10 @@
 	}
 }
 
-/* Guards against a holder that acts on after it stood still for its lease. */
+/*
+ * Guards against a holder that continues to act after a pause as long as its
+ * lease.
+ */
 static void
 test_pause(void)
 {
@@ -546,7 +566,10 @@
 	world_finish(&w);
 }
 
-/* Guards against a holder cut from the log that keeps the others waiting. */
+/*
+ * Guards against a holder without access to the log that keeps other nodes from
+ * taking over.
+ */
 static void
 test_cut(void)
 {
@@ -563,7 +586,9 @@
 	world_finish(&w);
 }
 
-/* Guards against a holder that gives up since the answer to a renewal is lost.
+/*
+ * Guards against a holder that gives up because the answer to a renewal was
+ * lost.
  */
 static void
 test_lost_renewal(void)
@@ -583,7 +608,7 @@
 	world_finish(&w);
 }
 
-/* Guards against a token that goes on after the platform refused it. */
+/* Guards against a token that stays in use after the platform refused it. */
 static void
 test_refused(void)
 {
@@ -603,7 +628,10 @@
 	world_finish(&w);
 }
 
-/* Guards against tokens that begin anew when all processes were killed. */
+/*
+ * Guards against tokens that restart from the beginning after all processes
+ * were killed.
+ */
 static void
 test_all_killed(void)
 {
@@ -625,7 +653,9 @@
 	world_finish(&w);
 }
 
-/* Guards against a beat that cannot be right, or of an older holder. */
+/*
+ * Guards against an impossible beat, and against a beat of an earlier holder.
+ */
 static void
 test_wrong_beats(void)
 {
@@ -651,7 +681,10 @@
 	world_finish(&w);
 }
 
-/* Guards against a duty that stands still after the log went back. */
+/*
+ * Guards against a duty without a holder after the log was restored from an
+ * older copy.
+ */
 static void
 test_rewound(void)
 {
@@ -666,7 +699,10 @@
 		w.longest_without = 0;
 		log_rewind(&w, 1000 * (1 + seed % 10));
 		world_run(&w, 15000);
-		/* The holder claims at once where its lease still runs. */
+		/*
+		 * The holder claims again at once while its lease is still
+		 * valid.
+		 */
 		g_assert_cmpuint(holder_of(&w), ==, h);
 		g_assert_cmpint(w.longest_without, <=, LEASE);
 		g_assert_true(w.nodes[h].duty.continues);
@@ -674,7 +710,7 @@
 	}
 }
 
-/* Guards against a holder that is lost together with its claim. */
+/* Guards against a holder that is lost together with its claim in the log. */
 static void
 test_rewound_and_killed(void)
 {
@@ -685,19 +721,21 @@
 		world_init(&w, seed);
 		world_settle(&w);
 		node_kill(&w, holder_of(&w));
-		/* The copy is from before the first claim. */
+		/* The copy is older than the first claim. */
 		log_rewind(&w, seed % 2 == 0 ? 100000 : 3000);
 		world_run(&w, 20000);
 		g_assert_cmpuint(holder_of(&w), <, NODES);
-		/* One lease to be sure of the old one, one from the new end. */
+		/*
+		 * One lease for the old holder to expire, one from the new end.
+		 */
 		g_assert_cmpint(w.longest_without, <=, 2 * TAKEOVER_MOST);
 		world_finish(&w);
 	}
 }
 
 /*
- * Guards against a node that starts at a log which went back to nothing, and
- * takes it while the holder of before still has its lease.
+ * Guards against a node that starts with a log restored to an empty copy and
+ * takes the duty while the previous holder's lease is still valid.
  */
 static void
 test_rewound_to_nothing(void)
@@ -712,7 +750,10 @@
 		i = (h + 1 + seed % (NODES - 1)) % NODES;
 		node_kill(&w, i);
 		world_run(&w, (msec)seed * 20);
-		/* It is told by nobody, and the holder hears nothing. */
+		/*
+		 * The new node receives no messages, and neither does the
+		 * holder.
+		 */
 		w.nodes[h].cut = true;
 		log_rewind(&w, 100000);
 		node_start(&w, i);
@@ -722,7 +763,10 @@
 	}
 }
 
-/* Guards against a beat of a log that has gone back since. */
+/*
+ * Guards against a beat that refers to a log that was restored from an older
+ * copy since.
+ */
 static void
 test_rewound_beats(void)
 {
@@ -752,7 +796,7 @@
 	unsigned int h = holder_of(w);
 	struct node *n;
 
-	/* The holder is met more often than chance would. */
+	/* Picks the holder more often than a uniform choice would. */
 	if (h < NODES && g_rand_int_range(w->rand, 0, 3) == 0)
 		i = h;
 	n = &w->nodes[i];
@@ -823,14 +867,20 @@
 	}
 }
 
-/* Guards against any of the above together; afterwards there is a holder. */
+/*
+ * Guards against combinations of the faults above; afterwards there must be a
+ * holder.
+ */
 static void
 test_chaos(void)
 {
 	check_chaos(false);
 }
 
-/* The same while the log goes back, at any time and twice in a row. */
+/*
+ * The same while the log is restored from older copies, at any time and twice
+ * in a row.
+ */
 static void
 test_chaos_rewound(void)
 {
--- a/tests/test-entry-log.c
+++ b/tests/test-entry-log.c
@@ -1,7 +1,7 @@
 /*
  * The log of an entry VM: lines that can be parsed whatever they quote, a
- * bounded volume that spares the lines on failures, and no block when nobody
- * reads.
+ * bounded volume that drops lines on failures last, and no blocking when
+ * nothing reads the output.
  */
 
 #include "entry-log.h"
@@ -77,7 +77,10 @@
 	return n;
 }
 
-/* Under load the lines on failures stay, and what was left out is said. */
+/*
+ * Under load the lines on failures are kept, and the number of dropped lines is
+ * logged.
+ */
 static void
 test_volume(void)
 {
@@ -102,7 +105,7 @@
 	pipe_close(&l);
 }
 
-/* Nobody reads: nothing blocks, memory stays bounded. */
+/* Without a reader nothing blocks, and memory stays bounded. */
 static void
 test_no_reader(void)
 {
@@ -118,7 +121,10 @@
 	}
 	g_assert_cmpuint(l.dropped, >, 0);
 	g_assert_cmpuint(l.out.size, <, 512 * 1024);
-	/* The reader comes back: the rest, and how much is missing. */
+	/*
+	 * The reader is back and gets the rest, with the number of dropped
+	 * lines.
+	 */
 	do {
 		g_free(text);
 		text = pipe_text();
@@ -128,7 +134,7 @@
 	pipe_close(&l);
 }
 
-/* Every event and key has its words. */
+/* Every event and key has a description. */
 static void
 test_words(void)
 {
--- a/tests/test-era.c
+++ b/tests/test-era.c
@@ -1,13 +1,13 @@
 /*
- * A store that comes back from an older copy of itself: which of its answers
- * count, and when what it has is the newest again.
+ * A store that is restored from an older copy of itself (a new era): which of
+ * its answers count, and when its contents are the newest again.
  */
 
 #include "era.h"
 
 #define REWRITE 5000
 
-/* Platforms of before name no era: nothing ever changes. */
+/* Older platforms send no era: it never changes. */
 static void
 test_without(void)
 {
@@ -22,7 +22,7 @@
 	g_assert_cmpuint(era_token(0, 41), ==, 42);
 }
 
-/* The first era that is heard of is no change; it may have just begun. */
+/* The first era received is no change; it may have just begun. */
 static void
 test_first(void)
 {
@@ -37,7 +37,10 @@
 	g_assert_cmpuint(a.counters.changes, ==, 0);
 }
 
-/* An answer from before the change, read after it, proved old state. */
+/*
+ * Guards against an answer from before the change that is read after it and
+ * proves old state.
+ */
 static void
 test_in_flight(void)
 {
@@ -50,12 +53,12 @@
 	g_assert_cmpint(era_heard(&a, 22, 7), ==, ERA_OLD);
 	g_assert_cmpuint(a.number, ==, 8);
 	g_assert_cmpuint(a.counters.old, ==, 1);
-	/* Twice in a row, and more than one while we were away. */
+	/* Two changes in a row, and several while this node was cut off. */
 	g_assert_cmpint(era_heard(&a, 30, 11), ==, ERA_ROSE);
 	g_assert_cmpuint(a.counters.changes, ==, 2);
 }
 
-/* Answers without a number, or with one that cannot be, change nothing. */
+/* Answers without an era, or with an impossible one, change nothing. */
 static void
 test_bad(void)
 {
@@ -70,7 +73,7 @@
 	g_assert_cmpint(era_heard(&a, 30, 7), ==, ERA_SAME);
 }
 
-/* A platform that names eras from some day on: what was read may be gone. */
+/* A platform that begins to send eras: records read before may be lost. */
 static void
 test_begins_to_name(void)
 {
@@ -81,7 +84,10 @@
 	g_assert_cmpint(era_heard(&a, 20, 1), ==, ERA_ROSE);
 }
 
-/* A key that was taken away in the lost seconds worked again. */
+/*
+ * Guards against a key that works again although it was revoked, in the seconds
+ * lost from the copy.
+ */
 static void
 test_settled(void)
 {
@@ -95,7 +101,10 @@
 	g_assert_true(era_settled(&a, 1000 + REWRITE, REWRITE));
 }
 
-/* A node that starts after the change took the copy for the newest. */
+/*
+ * Guards against a node that starts after the change and takes the copy for the
+ * newest state.
+ */
 static void
 test_told(void)
 {
@@ -110,12 +119,14 @@
 	g_assert_cmpuint(era_age(&a, 9000), ==, 1500);
 	g_assert_false(era_settled(&a, 9000, REWRITE));
 	g_assert_true(era_settled(&a, 7500 + REWRITE, REWRITE));
-	/* Who saw it later does not make it younger. */
+	/*
+	 * A node that learned of the change later does not make it more recent.
+	 */
 	era_told(&a, 9000, 8, 300);
 	g_assert_cmpuint(era_age(&a, 9000), ==, 1500);
 }
 
-/* A word of one era was taken for a proof in the other. */
+/* Guards against a message of one era that is accepted as proof in another. */
 static void
 test_marks(void)
 {
@@ -130,7 +141,10 @@
 	g_assert_cmpuint(era_mark(&a, 5), !=, era_mark(&b, 5));
 }
 
-/* A place that was given out again made one token of two holders. */
+/*
+ * Guards against an offset that is assigned again and gives two holders one
+ * token.
+ */
 static void
 test_tokens(void)
 {
--- a/tests/test-explain.c
+++ b/tests/test-explain.c
@@ -1,7 +1,7 @@
 /*
- * The way from a request's id to its cause, as docs/OPERATIONS.md has it: the
- * stories are replayed from lines of a real run, and the page's tables are
- * those of the code.
+ * The `explain` command, from a request's id to the cause of its outcome, as in
+ * docs/OPERATIONS.md: its examples are replayed from lines of a real run, and
+ * its tables match the code.
  */
 
 #include "cmd.h"
@@ -13,7 +13,7 @@
 
 extern const struct cmd_entry cmd_explain_entry;
 
-/* What the command prints, and its exit code. */
+/* Returns the output of the command and its exit code. */
 static char *
 explain(const char *id, const char *file, enum cmd_retval *rc)
 {
@@ -51,7 +51,7 @@
 	return text;
 }
 
-/* Each line that the command prints stands in the page. */
+/* Each line that the command prints is on the page. */
 static void
 check_story(const char *id, const char *name, const char *cause)
 {
@@ -83,7 +83,7 @@
 	check_story("s7-000358", "poison", "condemned");
 }
 
-/* An id that is not there, a file cut in the middle, a file that is not. */
+/* An unknown id, a truncated file, and a missing file. */
 static void
 test_bad_input(void)
 {
--- a/tests/test-fresh.c
+++ b/tests/test-fresh.c
@@ -1,7 +1,8 @@
 /*
- * The proof that the configuration is the newest. A user whose key was taken
- * away must be turned away in time by a node that was cut off, refused by the
- * platform or paused; the proof's age counts from the asking.
+ * The proof that a node's configuration is the newest (fresh.c). A caller with
+ * a revoked key must be refused in time by a node that was partitioned, refused
+ * by the platform or paused; the age of a proof counts from the sending of its
+ * read.
  */
 
 #include "fresh.h"
@@ -17,12 +18,14 @@
 	fresh_prove(&f, 1000);
 	g_assert_true(fresh_holds(&f, 4999));
 	g_assert_false(fresh_holds(&f, 5000));
-	/* An older proof that comes late takes nothing away, nor adds. */
+	/* An older proof that arrives late changes nothing. */
 	fresh_prove(&f, 500);
 	g_assert_cmpint(fresh_age(&f, 1500), ==, 500);
 }
 
-/* A paused process wakes with the answer to a read that it sent long ago. */
+/*
+ * A paused process resumes with the answer to a read that it sent long before.
+ */
 static void
 test_pause(void)
 {
--- a/tests/test-fuzz-corpus.c
+++ b/tests/test-fuzz-corpus.c
@@ -1,7 +1,8 @@
 /*
- * Inputs kept from fuzzing, through the decoders of the table in util-fuzz.c:
- * one that once broke something has a name that says so, the others reach
- * code that random bytes hardly do. A crash or a sanitizer's report fails.
+ * Inputs kept from fuzzing, run through the decoders of the table in
+ * util-fuzz.c. An input that once caused a fault is named after it; the others
+ * reach code that random bytes hardly reach. A crash or a sanitizer report
+ * fails the test.
  */
 
 #include "util-fuzz.h"
@@ -51,7 +52,7 @@
 	char *path;
 
 	g_test_init(&argc, &argv, NULL);
-	/* Decoders may warn of what they are given. */
+	/* Decoders may log warnings about these inputs. */
 	g_log_set_always_fatal(G_LOG_FATAL_MASK);
 	for (t = fuzz_targets; t->name != NULL; t++) {
 		path = g_strdup_printf("/fuzz-corpus/%s", t->name);
--- a/tests/test-http-message.c
+++ b/tests/test-http-message.c
@@ -1,6 +1,7 @@
 /*
- * HTTP messages as they come in pieces, and those that two parsers could read
- * apart: each of these is refused, whatever the size of the pieces.
+ * HTTP messages that arrive in pieces, and ambiguous messages that two parsers
+ * could read differently: each of these is refused, whatever the size of the
+ * pieces.
  */
 
 #include "http-message.h"
@@ -22,7 +23,10 @@
 	g_string_append_len(g->body, bytes, (gssize)n);
 }
 
-/* Feed in pieces of a size until the message ends; the bytes taken. */
+/*
+ * Feeds pieces of a given size until the message ends; returns the number of
+ * bytes consumed.
+ */
 static size_t
 feed(struct http_reader *r, const char *bytes, size_t n, size_t piece)
 {
@@ -60,8 +64,8 @@
 	check_refused((text), sizeof(text) - 1, HTTP_ERROR_MALFORMED)
 
 /*
- * A caller sends one request that holds a second one: a server that reads the
- * lengths in another way than we do would run it, and nobody asked for it.
+ * Request smuggling: a request contains a second one, which a server that reads
+ * the lengths differently would run.
  */
 static void
 test_smuggling(void)
@@ -118,7 +122,7 @@
 	check_refused(body, strlen(body), HTTP_ERROR_BODY_TOO_LARGE);
 }
 
-/* The second request of a pipeline is left for after the first's answer. */
+/* The second request of a pipeline is left until the first is answered. */
 static void
 test_pipeline(void)
 {
@@ -168,8 +172,8 @@
 }
 
 /*
- * A server breaks off: its answer must not look whole. Without a length the
- * orderly end of the connection is what makes it so.
+ * A server closes the connection early: its answer must not count as complete.
+ * Without a length, only the orderly end of the connection completes it.
  */
 static void
 test_ends(void)
--- a/tests/test-lease.c
+++ b/tests/test-lease.c
@@ -1,5 +1,6 @@
 /*
- * Leases: the fold, and two nodes whose clocks, log and luck differ.
+ * Leases: the fold, and nodes with different clocks, pauses and delays of the
+ * log.
  */
 
 #define LOG_PART "test"
@@ -19,18 +20,18 @@
 	double speed;	   /* of its clock */
 	msec ahead;	   /* of its clock */
 	msec paused_until; /* true time */
-	char *flying;	   /* an append under way */
+	char *flying;	   /* a pending append */
 	msec lands_at;
 };
 
 struct world {
-	msec now; /* true time, and the log's */
+	msec now; /* true time, which the log uses */
 	char *records[RECORDS_MAX];
 	msec walls[RECORDS_MAX];
 	uint64_t n;
 	struct node nodes[NODES];
 	bool log_down;
-	/* What engines have seen: orders by number, and when. */
+	/* Orders that engines have received: lease number and time. */
 	uint64_t highest_unfenced;
 	unsigned int orders, stale_unfenced, terms;
 };
@@ -88,7 +89,7 @@
 	lease_user_folded(&n->user, node_now(w, n), &n->fold);
 }
 
-/* Ask for the lease if it is time; the append lands after `delay`. */
+/* Claims or renews the lease if it is due; the append lands after `delay`. */
 static enum lease_act
 node_tick(struct world *w, struct node *n, msec delay)
 {
@@ -124,7 +125,7 @@
 	g_assert_cmpint(act, ==, want);
 }
 
-/* Claim, land and read at once. */
+/* Claims, and has the claim land and read back at once. */
 static void
 node_claim(struct world *w, struct node *n)
 {
@@ -139,8 +140,8 @@
 test_crossing(void)
 {
 	/*
-	 * Two nodes find the lease free and claim it at one moment. Both
-	 * would place models; only the one whose claim is first may.
+	 * Two nodes find the lease free and claim it at the same time. Both
+	 * would place models; only the one whose claim is first in the log may.
 	 */
 	struct world w;
 	struct node *a = &w.nodes[0], *b = &w.nodes[1];
@@ -170,9 +171,9 @@
 test_paused(void)
 {
 	/*
-	 * The holder's VM is suspended for a minute in mid-order and wakes
-	 * believing that it holds the lease. Its next order would undo what
-	 * the new holder has placed; it must find its term gone.
+	 * The holder's VM is paused for a minute while giving an order and
+	 * resumes with a lease that it holds valid. Its next order would undo
+	 * what the new holder has placed; it must detect that its term is over.
 	 */
 	struct world w;
 	struct node *a = &w.nodes[0], *b = &w.nodes[1];
@@ -186,7 +187,10 @@
 	node_claim(&w, b);
 	g_assert_cmpuint(b->user.fencing, ==, 2);
 	g_assert_false(lease_user_may_order(&a->user, w.now, true));
-	/* Engines that don't check get orders only after a further term. */
+	/*
+	 * Engines that don't check the lease number get orders only after a
+	 * further term.
+	 */
 	g_assert_true(lease_user_may_order(&b->user, w.now, true));
 	g_assert_false(lease_user_may_order(&b->user, w.now, false));
 	node_read(&w, a);
@@ -197,7 +201,10 @@
 static void
 test_release(void)
 {
-	/* A VM that leaves hands over; the next holder need not wait. */
+	/*
+	 * A VM that leaves releases the lease, and the next holder need not
+	 * wait.
+	 */
 	struct world w;
 	struct node *a = &w.nodes[0], *b = &w.nodes[1];
 	char id[LOG_ID_SIZE];
@@ -208,7 +215,10 @@
 	log_land(&w, lease_release_encode(SERVICE, 1, a->user.self, 1, id));
 	lease_user_release(&a->user);
 	g_assert_false(lease_user_may_order(&a->user, w.now, true));
-	/* Not read back yet: the lease still looks ours, but is let go. */
+	/*
+	 * The release is not read back yet: the fold still shows this node as
+	 * holder.
+	 */
 	lease_user_folded(&a->user, w.now, &a->fold);
 	check_tick(&w, a, LEASE_NOTHING);
 	node_read(&w, b);
@@ -224,8 +234,8 @@
 {
 	/*
 	 * The log is down for a whole term. Nobody can renew, so the holder
-	 * stops giving orders; when the log is back, a claim of that time
-	 * which lands late must not give it a term that is already over.
+	 * stops giving orders. When the log is back, a claim from that time
+	 * which lands late must not give its node a term that is already over.
 	 */
 	struct world w;
 	struct node *a = &w.nodes[0];
@@ -250,9 +260,9 @@
 test_sent_again(void)
 {
 	/*
-	 * A claim's answer is lost; the node claims again; the first claim
-	 * had been taken long before. Its term must not be counted from the
-	 * second.
+	 * A claim's answer is lost and the node claims again, although the
+	 * first claim was appended long before. Its term must not be counted
+	 * from the second.
 	 */
 	struct world w;
 	struct node *a = &w.nodes[0];
@@ -280,8 +290,8 @@
 test_late_reader(void)
 {
 	/*
-	 * A VM starts where the first claims have aged out. It must not take
-	 * the lease for free, and learns who holds it from the renewals.
+	 * A VM starts after the first claims were dropped by retention. It must
+	 * not treat the lease as free, and learns the holder from the renewals.
 	 */
 	struct world w;
 	struct node *a = &w.nodes[0], *b = &w.nodes[1];
@@ -300,7 +310,7 @@
 	check_tick(&w, b, LEASE_NOTHING);
 	node_read(&w, b);
 	g_assert_cmpuint(lease_fold_find(&b->fold, SERVICE)->fencing, ==, 4);
-	/* Long after, for every fold alike, nothing is in force. */
+	/* Long after, no lease is in force in any fold. */
 	w.now += LEASE_FORGET + LEASE_MARGIN + 1;
 	node_claim(&w, b);
 	if (b->user.fencing == 0)
@@ -312,7 +322,10 @@
 	world_finish(&w);
 }
 
-/* Nobody else may order while one may; to unfenced engines, never go back. */
+/*
+ * Only one node may order at a time; lease numbers sent to unfenced engines
+ * never decrease.
+ */
 static void
 world_check(struct world *w)
 {
@@ -352,7 +365,7 @@
 	case 1:
 		w->log_down = !w->log_down;
 		break;
-	case 2: /* replaced: reads again from a later record */
+	case 2: /* replaced: reads from a later record */
 		lease_fold_finish(&n->fold);
 		lease_fold_init(&n->fold);
 		lease_user_init(&n->user, SERVICE, n->user.self, 1);
@@ -377,7 +390,7 @@
 	/*
 	 * Clocks up to 8 % apart in speed and hours apart in time, pauses,
 	 * outages, slow appends, replaced nodes. Two nodes that may order at
-	 * one moment would each undo the other's placement.
+	 * the same time would undo each other's placement.
 	 */
 	struct world *w = g_new0(struct world, 1);
 	unsigned int seed, i, orders = 0;
--- a/tests/test-ledger.c
+++ b/tests/test-ledger.c
@@ -1,6 +1,6 @@
 /*
- * The ledger: claims, homes and what is read back, with an append log in
- * memory.
+ * The ledger: claims, homes (the nodes that append the claims of a shard) and
+ * the records read back, with an append log in memory.
  */
 
 #define LOG_PART "test"
@@ -15,7 +15,7 @@
 #define KEYS 12
 #define SEEDS 60
 
-/* The log: what has landed, and what is still under way. */
+/* The log: records that have landed, and appends still pending. */
 struct fake_log {
 	char *records[RECORDS_MAX];
 	msec walls[RECORDS_MAX];
@@ -27,7 +27,7 @@
 enum request_state {
 	REQUEST_WAITING,
 	REQUEST_RAN,
-	REQUEST_GIVEN_UP, /* its caller was told "not run" or "unknown" */
+	REQUEST_GIVEN_UP, /* its caller got "not run" or "unknown" */
 };
 
 struct request {
@@ -47,7 +47,7 @@
 	msec now;
 };
 
-/* The entry node's part: run on OURS unless it has given up. */
+/* The entry node: runs the request on OURS unless it has given up. */
 static void
 world_answer(struct ledger_home *h, const struct ledger_claim *c,
     enum ledger_answer answer, enum ledger_verdict verdict,
@@ -131,7 +131,7 @@
 		    strlen(w->log.records[offset - 1]));
 }
 
-/* Let a home append what is due, and read everything. */
+/* Lets the homes append what is due, and read all records. */
 static void
 home_round(struct world *w, struct ledger_home *h)
 {
@@ -168,7 +168,7 @@
 	g_assert_cmpint(b->verdict, ==, LEDGER_LATER);
 	g_assert_cmpint(c->verdict, ==, LEDGER_OTHER_BODY);
 	g_assert_cmpuint(a->answers, ==, 1);
-	/* A taken key costs no record. */
+	/* A claim of a taken key appends no record. */
 	ledger_home_claim(&w.homes[0], w.now, &b->claim);
 	g_assert_cmpuint(b->answers, ==, 2);
 	g_assert_cmpuint(w.homes[0].npending, ==, 0);
@@ -179,10 +179,10 @@
 test_lost_answer(void)
 {
 	/*
-	 * The log takes a batch, its answer is lost and the caller's time
-	 * runs out. The caller is told so and tries again with the same key.
-	 * Were the second run because the first "failed", a tanker would be
-	 * booked twice if the first entry node had read its claim back.
+	 * The log appends a batch, its answer is lost and the request times
+	 * out. The caller gets that result and tries again with the same key.
+	 * If the second request ran because the first "failed", a booking would
+	 * be made twice when the first entry node has read its claim back.
 	 */
 	struct world w;
 	struct request *a, *b;
@@ -213,9 +213,9 @@
 test_abandon(void)
 {
 	/*
-	 * The entry node gives a request up, tells its caller "not run" and
-	 * takes the claim back; then the delayed claim lands. The caller's
-	 * next try with the key must run and not be held up for half an hour.
+	 * The entry node gives a request up, answers "not run" and withdraws
+	 * the claim; then the delayed claim lands. The caller's next try with
+	 * the key must run and not be blocked for half an hour.
 	 */
 	struct world w;
 	struct request *a, *b;
@@ -246,7 +246,10 @@
 static void
 test_ended(void)
 {
-	/* A retry learns how the first request ended; no end is undone. */
+	/*
+	 * A retry gets the outcome of the first request; no outcome is ever
+	 * changed.
+	 */
 	struct world w;
 	struct request *a;
 	struct ledger_claim end, *first;
@@ -273,9 +276,10 @@
 test_blind(void)
 {
 	/*
-	 * A VM becomes the home of a shard whose older records have aged out
-	 * early. A key claimed in one of them looks free; running it would be
-	 * the second run. For a window's length nothing is called ours.
+	 * A VM becomes the home of a shard whose older records were dropped by
+	 * retention early. A key claimed in one of them looks free, and running
+	 * it would be a second run. For the length of a window no claim gets
+	 * OURS.
 	 */
 	struct world w;
 	struct request *a, *b;
@@ -304,8 +308,9 @@
 test_down(void)
 {
 	/*
-	 * The log is down. What no record has carried is answered at once, as
-	 * certainly not run; what one carried stays undecided.
+	 * The log is down. A claim that no append has carried is answered at
+	 * once, as certainly not run; one that an append carried stays
+	 * undecided.
 	 */
 	struct world w;
 	struct request *a, *b, *c;
@@ -350,7 +355,7 @@
 	ledger_fold_finish(&f);
 }
 
-/* One random thing happens. */
+/* Performs one random step. */
 static void
 world_step(struct world *w, GRand *rand)
 {
@@ -374,7 +379,7 @@
 			    &w->homes[g_rand_int_range(rand, 0, HOMES)], w->now,
 			    &r->claim);
 		return;
-	case 1: /* the entry node gives up and may take its claim back */
+	case 1: /* the entry node gives up and may withdraw its claim */
 		if (w->nrequests == 0)
 			return;
 		r = &w->requests[g_rand_int_range(
@@ -389,7 +394,7 @@
 		return;
 	case 2:
 	case 3:
-	case 4: /* a batch: lands, lands twice, fails, or flies for a while */
+	case 4: /* a batch: lands, lands twice, fails, or stays pending */
 		record = ledger_home_tick(h, w->now, id, &batch);
 		if (record == NULL)
 			return;
@@ -407,11 +412,11 @@
 			ledger_home_appended(h, batch, LEDGER_APPEND_DONE);
 		}
 		return;
-	case 5: /* a delayed one lands */
+	case 5: /* a delayed batch lands */
 		if (w->log.nflying > 0)
 			log_land(w, w->log.flying[--w->log.nflying]);
 		return;
-	case 6: /* a home is replaced, and reads from the start */
+	case 6: /* a home is replaced and reads from the start */
 		if (g_rand_int_range(rand, 0, 20) != 0)
 			return;
 		ledger_home_finish(h);
@@ -427,9 +432,9 @@
 test_property(void)
 {
 	/*
-	 * Many entry nodes, three that take themselves for the home, answers
-	 * lost, appends that land late or twice, requests given up and claims
-	 * taken back. A key that ran twice would be a tanker booked twice.
+	 * Many entry nodes, three nodes that each act as the home, lost
+	 * answers, appends that land late or twice, requests given up and
+	 * claims withdrawn. A key that ran twice would be a booking made twice.
 	 */
 	struct world *w = g_new0(struct world, 1);
 	unsigned int seed, i, ran = 0, free_again = 0;
--- a/tests/test-library.c
+++ b/tests/test-library.c
@@ -1,7 +1,7 @@
 /*
- * The library as others get it: its exported symbols are those of the public
- * headers, every item there is explained, and a program outside the tree
- * builds and runs against an installed copy, found through pkg-config only.
+ * The installed library: its exported symbols are those of the public headers,
+ * every declaration there has a comment, and a program outside the tree builds
+ * and runs against an installed copy that is found through pkg-config only.
  */
 
 #include "util-proc.h"
@@ -10,7 +10,10 @@
 
 #include <glib/gstdio.h>
 
-/* Text of a program's standard output; a failure fails the test. */
+/*
+ * Returns the standard output of a program; fails the test if the program
+ * fails.
+ */
 static char *
 shell(const char *line)
 {
@@ -33,7 +36,7 @@
 	return b != NULL ? b : "build";
 }
 
-/* "address" of "build-address"; "" for the plain build. */
+/* Returns "address" for "build-address", "" for the plain build. */
 static const char *
 build_san(void)
 {
@@ -42,7 +45,9 @@
 	return p != NULL ? p + 1 : "";
 }
 
-/* make, apart from the make that runs the tests. */
+/*
+ * Returns a make command that is independent of the make that runs the tests.
+ */
 static char *
 make_line(const char *args)
 {
@@ -56,9 +61,9 @@
 /* ---- symbols ---- */
 
 /*
- * A function was added to a public header, but not to the version script: an
- * embedder could not link against it. Or a private one is exported, and would
- * have to be kept forever.
+ * A function was added to a public header but not to the version script:
+ * programs could not link against it. Or a private function is exported and
+ * would have to be kept.
  */
 static void
 test_symbols(void)
@@ -72,7 +77,7 @@
 		g_error("libsavorypier.map is old: run make symbols");
 }
 
-/* What the linker made of it: each listed symbol is there, and no other. */
+/* The linked library exports each listed symbol and no other. */
 static void
 test_exports(void)
 {
@@ -102,7 +107,7 @@
 	return depth;
 }
 
-/* Lines that need no explanation. */
+/* Lines that need no comment. */
 static bool
 line_is_plain(const char *line)
 {
@@ -116,13 +121,15 @@
 	}
 	if (g_str_has_prefix(line, "#define ") && g_str_has_suffix(line, "_H"))
 		return true;
-	/* A declaration ahead, or the fallback of a per-file setting. */
+	/* A forward declaration, or the fallback of a per-file setting. */
 	return g_regex_match_simple(
 	    "^(struct \\w+;|#define LOG_PART .*)$", line, 0, 0);
 }
 
-/* Fails at the first paragraph that neither opens with a comment nor has one
- * on each line. */
+/*
+ * Fails at the first paragraph that neither opens with a comment nor has one on
+ * each line.
+ */
 static void
 header_check(const char *name)
 {
@@ -155,7 +162,7 @@
 
 	g_assert_cmpuint(g_strv_length(names), >, 10);
 	for (i = 0; names[i] != NULL; i++) {
-		/* proto.h is generated; proto.x has the comments. */
+		/* proto.h is generated; its comments are in proto.x. */
 		if (strcmp(names[i], "proto.h") != 0)
 			header_check(names[i]);
 	}
@@ -173,7 +180,7 @@
 	return g_build_filename(dir, "opt/savorypier", NULL);
 }
 
-/* Remove a directory with all below it, and free the name. */
+/* Removes a directory and its contents, and frees the name. */
 static void
 tree_remove(char *dir)
 {
@@ -194,8 +201,8 @@
 }
 
 /*
- * Somebody installs the library, copies the example elsewhere and builds it:
- * nothing of the source tree is in reach.
+ * The library is installed, and the example is copied elsewhere and built
+ * without access to the source tree.
  */
 static void
 test_embed(void)
@@ -218,7 +225,7 @@
 	tree_remove(dir);
 }
 
-/* All that a packager expects stands where it should. */
+/* All installed files are in the directories that packagers expect. */
 static void
 test_install(void)
 {
--- a/tests/test-log-client.c
+++ b/tests/test-log-client.c
@@ -1,6 +1,6 @@
 /*
- * The log's client without a log: answers decoded, errors sorted, and the
- * daemon's thread when nobody listens.
+ * The log's client without a log: decoding of answers, classification of
+ * errors, and the daemon's thread when no server is listening.
  */
 
 #define LOG_PART "test"
@@ -101,7 +101,7 @@
 test_unreachable(void)
 {
 	/*
-	 * Nobody listens. The operator is told that certainly nothing was
+	 * No server is listening. The result must be that certainly nothing was
 	 * published, not "unknown".
 	 */
 	GError *e = NULL;
@@ -123,8 +123,8 @@
 test_silent(void)
 {
 	/*
-	 * The log takes the connection and the request and says nothing.
-	 * It may have appended, so the answer is "unknown".
+	 * The log accepts the connection and the request but sends no answer.
+	 * It may have appended, so the result is "unknown".
 	 */
 	GError *e = NULL;
 	char *base;
@@ -142,9 +142,9 @@
 test_io_unreachable(void)
 {
 	/*
-	 * A daemon starts while the log is away. It learns that the log is
-	 * down, its append ends as certainly not made, and it stops at once
-	 * although a poll and an append are under way.
+	 * A daemon starts while the log is down. It reports the log as down,
+	 * its append ends as certainly not made, and it stops at once although
+	 * a poll and an append are in progress.
 	 */
 	struct ring events;
 	struct log_io *io;
@@ -182,7 +182,7 @@
 main(int argc, char **argv)
 {
 	g_test_init(&argc, &argv, NULL);
-	/* A log that is down is warned of, and is what is tested here. */
+	/* The log that is down causes the warnings expected here. */
 	g_log_set_always_fatal(G_LOG_FATAL_MASK);
 	g_test_add_func("/log-client/record", test_record);
 	g_test_add_func("/log-client/page", test_page);
--- a/tests/test-log.c
+++ b/tests/test-log.c
@@ -1,6 +1,4 @@
-/*
- * Log lines in both formats, as they come out on standard error.
- */
+/* Log lines in both formats, as written to standard error. */
 
 #define LOG_PART "part"
 #include "savory.h"
@@ -11,7 +9,7 @@
 #include <glib/gstdio.h>
 #include <jansson.h>
 
-/* Run `emit` with standard error in a file; what came out. */
+/* Runs `emit` with standard error redirected to a file; returns the output. */
 static char *
 captured(void (*emit)(void), bool json)
 {
@@ -41,7 +39,7 @@
 	g_assert_cmpstr(json_string_value(json_object_get(o, key)), ==, value);
 }
 
-/* One line, and valid JSON. */
+/* Checks that the text is one line of valid JSON, and parses it. */
 static json_t *
 json_line(const char *text)
 {
@@ -62,7 +60,7 @@
 	log_debug("not shown");
 }
 
-/* The name that a sentence is about is found without parsing the sentence. */
+/* The name of a message's subject is found without parsing the message. */
 static void
 test_fields(void)
 {
@@ -93,8 +91,8 @@
 }
 
 /*
- * A log collector dropped lines as malformed. They quoted an engine's reply
- * with an umlaut or a control character, which were written as \303 or \001:
+ * A log collector dropped lines as malformed: they quoted an engine's reply
+ * with an umlaut or a control character, which were written as \303 or \001,
  * escapes of C that JSON does not have.
  */
 static void
@@ -113,7 +111,7 @@
 	log_info("cut in a character: %s", "H\xc3");
 }
 
-/* Bytes that are no UTF-8 are replaced; the line is still there. */
+/* Bytes that are not UTF-8 are replaced, and the line is kept. */
 static void
 test_invalid(void)
 {
--- a/tests/test-man.c
+++ b/tests/test-man.c
@@ -1,7 +1,6 @@
 /*
- * The manual pages and the completion say what the code does: the commands
- * and options of the table, and the keys of the YAML schemas, no more and no
- * less.
+ * The manual pages and the completion match the code: exactly the commands and
+ * options of the table, and the keys of the YAML schemas.
  */
 
 #include "cmd.h"
@@ -15,7 +14,7 @@
 	return strcmp(*(char *const *)a, *(char *const *)b);
 }
 
-/* Sort the lines and join them, so that two lists compare as texts. */
+/* Sorts the lines and joins them, so that two lists compare as texts. */
 static char *
 lines_join(GPtrArray *lines)
 {
@@ -42,7 +41,7 @@
 					  o->arg != NULL ? o->arg : ""));
 }
 
-/* What the table says, a line for each command and each option. */
+/* Returns the table's contents, a line for each command and each option. */
 static char *
 table_lines(void)
 {
@@ -60,7 +59,7 @@
 	return lines_join(want);
 }
 
-/* "Ar NODE Op Ar PART" as "NODE [PART]". */
+/* Returns "NODE [PART]" for "Ar NODE Op Ar PART". */
 static char *
 macro_args(const char *macros)
 {
@@ -73,7 +72,7 @@
 	return g_string_free(s, FALSE);
 }
 
-/* What the page says, in the same form. */
+/* Returns the page's contents in the same form. */
 static char *
 page_lines(const char *name)
 {
@@ -159,7 +158,7 @@
 	g_assert_cmpstr(got_text, ==, want_text);
 }
 
-/* Each "--option" of the daemon's source stands in its page, and none else. */
+/* The daemon's manual page has exactly the "--option"s of its source. */
 static void
 test_daemon(void)
 {
--- a/tests/test-member.c
+++ b/tests/test-member.c
@@ -1,6 +1,6 @@
 /*
- * Membership cores on a simulated network: what every node comes to know, and
- * within which time, under loss, delay, partitions, pauses and restarts.
+ * Membership cores on a simulated network: what each node learns, and within
+ * which time, under loss, delay, partitions, pauses and restarts.
  */
 
 #include "util-fleet.h"
@@ -12,7 +12,7 @@
 
 static const unsigned int sizes[] = { 3, 8, 17, 40 };
 
-/* Fails with the seed, so that the run can be repeated. */
+/* Prints the seed on failure, so that the run can be repeated. */
 #define assert_within(what, took, bound, n, seed)                    \
 	do {                                                         \
 		if ((took) < 0 || (took) > (bound))                  \
@@ -29,13 +29,15 @@
 	fleet_start_all(f);
 	took = fleet_run_until_agreed(f, 10 * MSEC_SECOND);
 	assert_within("start", took, 10 * MSEC_SECOND, n, seed);
-	/* Twice the list's interval, so that every node has read it. */
+	/*
+	 * Two intervals of reading the VM list, so that every node has read it.
+	 */
 	fleet_run(f, 2 * MSEC_SECOND);
 }
 
 /*
- * A whole fleet is started at once, with only the VM list to go by. Each node
- * must know all others with their ports before callers can be told of them.
+ * A whole fleet starts at once with nothing but the VM list. Each node must
+ * know all others and their ports before it can name them to callers.
  */
 static void
 test_start(void)
@@ -52,9 +54,9 @@
 }
 
 /*
- * An entry VM's power fails. Nothing says goodbye; callers sent to it would
- * wait for nothing. All others must know within a few seconds, whatever the
- * size of the fleet, and with 2% loss not accuse anybody else for good.
+ * An entry VM loses power without notice, and callers sent to it would time
+ * out. All other nodes must detect this within a few seconds at any fleet size,
+ * and with 2% loss must not hold any other node dead permanently.
  */
 static void
 test_dead(void)
@@ -78,9 +80,9 @@
 }
 
 /*
- * The network loses one datagram in five for a minute. Nodes are suspected
- * wrongly all the time; each must refute it in time, so that hardly any is
- * held dead, and none for long.
+ * The network loses one datagram in five for a minute, so nodes are wrongly
+ * suspected all the time. Each must refute it in time: hardly any may be held
+ * dead, and none for long.
  */
 static void
 test_loss(void)
@@ -107,9 +109,9 @@
 }
 
 /*
- * A VM is frozen for 20 seconds by its host and wakes as if nothing had been.
- * The others hold it dead by then. It must neither accuse the others of the
- * silence that was its own, nor stay dead in their eyes.
+ * A VM is paused by its host for 20 seconds and then resumes; the others hold
+ * it dead by then. It must not suspect the others because of its own pause, nor
+ * stay dead in their view.
  */
 static void
 test_paused_node_refutes(void)
@@ -139,9 +141,9 @@
 }
 
 /*
- * An operator stops a VM: its process says so. Everyone must stop sending it
- * new callers within a few seconds, and go on knowing that it is alive, as it
- * still finishes answers.
+ * An operator stops a VM, and its process announces that it is leaving. Every
+ * node must stop sending it new callers within a few seconds, but still hold it
+ * alive, as it is finishing its answers.
  */
 static void
 test_leaving(void)
@@ -166,11 +168,11 @@
 }
 
 /*
- * Callers kept coming to a VM until 6.5 s after it had been told to stop, when
- * it had no time left for them. They keep an answer that names it for 3 s, and
- * other VMs went on giving such answers: only three heard of the stop at once,
- * half of sixty after 1.1 s, the last after 7 s. The VM takes callers for 3.5
- * s, so all must know within half a second.
+ * Callers were sent to a VM until 6.5 s after its stop, when it had no time
+ * left for them. Callers keep an answer that names a VM for 3 s, and other VMs
+ * went on giving such answers: only three learned of the stop at once, half of
+ * sixty after 1.1 s, the last after 7 s. The VM takes callers for 3.5 s, so all
+ * nodes must learn of the stop within half a second.
  */
 static void
 test_leaving_at_once(void)
@@ -202,9 +204,9 @@
 }
 
 /*
- * The same on a network that loses one datagram in a hundred. The word of the
- * stop was sent once, and whom it did not reach heard by the probes, at the end
- * of a long queue of news: of 300 nodes some went on naming the VM for 3.7 s.
+ * The same with 1% loss of datagrams. The stop was announced once; nodes that
+ * missed the announcement learned of it from probes, at the end of a long queue
+ * of updates: of 300 nodes some went on naming the VM for 3.7 s.
  */
 static void
 test_leaving_under_loss(void)
@@ -228,11 +230,11 @@
 }
 
 /*
- * Sixty VMs are restarted, one each 270 ms. A VM that was back and served stood
- * idle for 1.5 s, until half of the others had heard of it by the probes; as
- * long they did not agree which node coordinates the placement of a request.
- * Each must know within half a second, and a whole fleet of 300 that is started
- * at once must know itself within the 12 s in which it has to serve again.
+ * Sixty VMs are restarted, one every 270 ms. A restarted VM got no work for 1.5
+ * s, until half of the others had learned of it from probes; for as long they
+ * disagreed about which node coordinates the placement of a request. Each must
+ * know within half a second, and the nodes of a fleet of 300 that starts at
+ * once must know each other within the 12 s in which it has to serve again.
  */
 static void
 test_return_at_once(void)
@@ -264,8 +266,8 @@
 
 /*
  * A leaving node is suspected because of loss, held dead during a pause, and
- * refutes. If the refutation carried it back to "alive", it would get new
- * work again just before it exits.
+ * refutes. If the refutation set it back to "alive", it would get new work just
+ * before it exits.
  */
 static void
 test_leaving_survives_refutation(void)
@@ -291,9 +293,9 @@
 }
 
 /*
- * The platform marks a VM as leaving; its process does not know yet. One node
- * reads the list first. All must know soon, the marked node too, and it must
- * stay so when the list forgets the mark again.
+ * The platform marks a VM as leaving before its process knows. One node reads
+ * the list first. All nodes must learn of it soon, including the marked one,
+ * and the VM must stay leaving when the mark disappears from the list.
  */
 static void
 test_leaving_from_list(void)
@@ -316,8 +318,8 @@
 
 /*
  * A leaving VM is replaced under its old name while the list still shows the
- * old one as leaving. The mark must not stick to the new process; but when
- * the list goes on saying so, it is meant.
+ * old one as leaving. The mark must not carry over to the new process, unless
+ * the list keeps the mark: then it applies to the new process.
  */
 static void
 test_restart_replaces(void)
@@ -341,9 +343,9 @@
 }
 
 /*
- * A node crashes and is up again before anybody has missed it. Work bound to
- * the first start must not be taken for the second's: all must see the new
- * incarnation, and must not mix in what is still said of the old one.
+ * A node crashes and restarts before any other node has missed it. Work bound
+ * to the first process must not be attributed to the second: all nodes must see
+ * the new incarnation and ignore late updates about the old one.
  */
 static void
 test_quick_restart(void)
@@ -364,11 +366,11 @@
 }
 
 /*
- * All nodes of a large fleet are killed and start together. None takes work in
- * its first moments, and said so in its answer to the first word of others;
- * each was held as such until it happened to be probed, with 300 nodes for up
- * to 45 s, and callers were sent to the few that were not. A word of what a
- * node is must not say how loaded it is.
+ * All nodes of a large fleet are killed and restart together. None takes work
+ * at first, and each stated this in its reply to the first message of others;
+ * it was held as not taking work until it was next probed, with 300 nodes for
+ * up to 45 s, and callers were sent to the few others. An update on a node's
+ * state must not carry its load.
  */
 static void
 test_ready_after_start(void)
@@ -400,8 +402,8 @@
 }
 
 /*
- * Guards against a node that leaves for good because the process before it,
- * under a clock that was set back since, had a greater number.
+ * Guards against a node that leaves permanently because the previous process
+ * had a greater incarnation number, from a clock that was set back since.
  */
 static void
 test_clock_set_back(void)
@@ -425,9 +427,9 @@
 }
 
 /*
- * Two halves of the fleet cannot reach each other for an hour. Each half works
- * on with the other held dead. When the network is mended, all must find
- * together again by themselves, though no probe goes to the dead in rounds.
+ * Two halves of the fleet cannot reach each other for an hour, and each works
+ * on holding the other dead. When the network is repaired, all must rejoin
+ * without help, although dead nodes are not probed in the usual rounds.
  */
 static void
 test_partition(void)
@@ -451,9 +453,9 @@
 }
 
 /*
- * The platform's list is suddenly empty, then has two of eight VMs, while all
- * are well. Obeyed, it would take the fleet apart. It is held back, said so,
- * and nobody is lost; a crash is still noticed.
+ * The platform's list is suddenly empty, then contains two of eight VMs, while
+ * all are alive. Applying it would break up the fleet, so it is held back and
+ * this is reported; no node is lost, and a crash is still detected.
  */
 static void
 test_list_held_back(void)
@@ -483,9 +485,9 @@
 }
 
 /*
- * A new VM starts before the platform's list shows it. It reads a list with
- * the others on it; they learn of it from itself and must keep it, not drop
- * it as a stranger. It goes only when it is gone from the list and dead.
+ * A new VM starts before the platform's list contains it. It reads a list with
+ * the others; they learn of it from its own messages and must keep it as a
+ * member. It is removed only when it is both off the list and dead.
  */
 static void
 test_list_lags(void)
@@ -503,14 +505,14 @@
 	fleet_run(&f, 120 * MSEC_SECOND);
 	g_assert_cmpuint(fleet_count(&f, 5, MEMBER_ALIVE), ==, 5);
 	g_assert_false(fleet_view(&f, 0, 5)->listed);
-	/* And was not lost and found in between. */
+	/* And it was not removed and added again in between. */
 	g_assert_cmpint(
 	    f.now - fleet_view(&f, 0, 5)->state_since, >, 110 * MSEC_SECOND);
 	fleet_crash(&f, 5);
 	fleet_run(&f, 120 * MSEC_SECOND);
 	for (i = 0; i < 5; i++)
 		g_assert_null(fleet_view(&f, i, 5));
-	/* A listed one is kept, as the list may bring it back. */
+	/* A listed node is kept, as it may be started again. */
 	fleet_crash(&f, 4);
 	fleet_run(&f, 120 * MSEC_SECOND);
 	g_assert_cmpint(fleet_view(&f, 0, 4)->state, ==, MEMBER_DEAD);
@@ -521,8 +523,9 @@
 }
 
 /*
- * A VM was frozen, replaced under its name, and then wakes. It must not
- * fight the new one for the name, but see that it is out and finish.
+ * A VM is paused, replaced under its name, and then resumes. It must not
+ * compete with the new process for the name, but detect that it was replaced
+ * and finish.
  */
 static void
 test_replaced_while_paused(void)
@@ -566,7 +569,7 @@
 
 static const struct member_ops lone_ops = { lone_send, lone_changed };
 
-/* A probe of entry-2 with news of itself, unless refutation is -1. */
+/* A probe from entry-2 with an update about itself, unless refutation is -1. */
 static void
 lone_hear(struct members *ms, uint64_t incarnation, int refutation,
     sp_member_state state, bool leaving, unsigned int load)
@@ -602,9 +605,9 @@
 }
 
 /*
- * A VM is leaving. Nodes that have not heard it go on saying that it is
- * alive, suspect, or has refuted a suspicion; each of these is newer news
- * about its life, but none may give it new work again.
+ * A VM is leaving. Nodes that do not know this yet keep reporting that it is
+ * alive, suspect, or has refuted a suspicion. Each of these is a newer update
+ * about its liveness, but none may get it new work again.
  */
 static void
 test_leaving_is_sticky(void)
@@ -624,7 +627,7 @@
 	lone_hear(&ms, 5, 1, SP_DEAD, false, 0);
 	lone_hear(&ms, 5, 2, SP_ALIVE, false, 0);
 	g_assert_cmpint(m->state, ==, MEMBER_LEAVING);
-	/* Only another start of the process is not leaving. */
+	/* Only a new process under this name is not leaving. */
 	lone_hear(&ms, 6, 0, SP_ALIVE, false, 0);
 	g_assert_cmpint(m->state, ==, MEMBER_ALIVE);
 	g_assert_false(m->leaving);
@@ -632,9 +635,9 @@
 }
 
 /*
- * A node was restarted; datagrams of its earlier start still arrive, late or
- * replayed. They must not be answered, nor count as news or load of the new
- * start.
+ * A node was restarted, and datagrams of its earlier process arrive late or
+ * replayed. They must not be answered, nor count as updates or load of the new
+ * process.
  */
 static void
 test_earlier_incarnation(void)
@@ -657,9 +660,10 @@
 }
 
 /*
- * A document is accepted, one node reads it first. All must hear of the newest
- * version within a few probe periods, or a lagging reader serves by the old
- * document without knowing. The same for loads, or the directory is blind.
+ * A document is accepted, and one node reads it first. All nodes must learn of
+ * the newest version within a few probe periods, or a lagging reader serves the
+ * old document without knowing. The same holds for loads, on which the
+ * directory depends.
  */
 static void
 test_versions_and_loads(void)
@@ -690,9 +694,9 @@
 }
 
 /*
- * Everything at once, by the dice: loss, crashes, restarts, pauses, a
- * partition. Whatever came before, after 30 quiet seconds all agree, no live
- * node stays dead, and no leaving mark was ever taken back.
+ * Random loss, crashes, restarts, pauses and a partition. Whatever happened
+ * before, after 30 seconds without faults all nodes agree, no live node is held
+ * dead, and no leaving mark was ever taken back.
  */
 static void
 test_chaos(void)
--- a/tests/test-metrics.c
+++ b/tests/test-metrics.c
@@ -1,5 +1,6 @@
 /*
- * What is counted of a request, and the text that it becomes.
+ * The counters and times recorded for a request, and the metrics text made from
+ * them.
  */
 
 #include "metrics.h"
@@ -28,7 +29,9 @@
 		g_error("no line \"%s\" in:\n%s", line, text);
 }
 
-/* A whole answer of 11 tokens, the first after `first`, then each 10 ms. */
+/*
+ * A complete answer of 11 tokens, the first after `first`, then one each 10 ms.
+ */
 static struct metrics_sample
 answer(msec first, msec each)
 {
@@ -40,7 +43,7 @@
 		.tokens = 11 };
 }
 
-/* Only targets that the class states are judged, each by itself. */
+/* Only targets that the class sets are evaluated, each by itself. */
 static void
 test_targets(void)
 {
@@ -68,7 +71,7 @@
 	metrics_finish(&m);
 }
 
-/* Goodput, attainment and times are of whole answers only. */
+/* Goodput, attainment and times count complete answers only. */
 static void
 test_broken(void)
 {
@@ -111,7 +114,10 @@
 	metrics_finish(&m);
 }
 
-/* A value on a bound is within it; buckets of the text add up. */
+/*
+ * A value equal to a bound is in its bucket; buckets in the text are
+ * cumulative.
+ */
 static void
 test_histogram(void)
 {
@@ -164,7 +170,7 @@
 	metrics_finish(&m);
 }
 
-/* Each metric has its name, a known type and a sentence, once. */
+/* Each metric has its name, a known type and a HELP text exactly once. */
 static void
 test_infos(void)
 {
--- a/tests/test-net.c
+++ b/tests/test-net.c
@@ -1,5 +1,6 @@
 /*
- * Messages between nodes: what is written is read, and nothing else is.
+ * Messages between nodes: every encoded message is decoded, and nothing else is
+ * accepted.
  */
 
 #include "net.h"
@@ -16,7 +17,7 @@
 
 static char name[] = "entry-1", domain[] = "hall-grandi";
 
-/* One message of every kind, with the variable parts filled. */
+/* One message of every kind, with its variable parts filled. */
 static unsigned int
 messages_make(sp_msg *msgs, sp_news *news, sp_load *load, sp_running_one *one)
 {
@@ -97,8 +98,8 @@
 }
 
 /*
- * A datagram is cut on the way, at any length, or has bytes added. All must
- * be seen as such; a part of a batch must never be acted upon.
+ * A datagram is truncated at any length, or has bytes appended. Each must be
+ * detected; a part of a batch must never be processed.
  */
 static void
 test_truncated(void)
@@ -117,8 +118,9 @@
 }
 
 /*
- * Somebody who does not know the key changes a datagram, or a cable does:
- * every bit of every byte must count, in the header and in the HMAC, too.
+ * A datagram is modified by someone without the key, or by a transmission
+ * error: every bit of every byte must be checked, including the header and the
+ * HMAC.
  */
 static void
 test_bit_flips(void)
@@ -140,9 +142,10 @@
 }
 
 /*
- * Nodes are replaced one after the other by a program whose placement messages
- * have more fields. One that read an old node's question by the new fields took
- * a rank for a target; so messages of another version are not read at all.
+ * Nodes are upgraded one after the other to a program whose placement messages
+ * have more fields. A new node that decoded an old node's request with the new
+ * fields took a rank for a target, so messages of another version are not
+ * decoded at all.
  */
 static void
 test_other_version(void)
@@ -167,8 +170,8 @@
 }
 
 /*
- * A holder of the key has a fault and sends well authenticated nonsense. The
- * decoder must refuse it and free what it had built, byte by byte.
+ * A faulty node with the key sends authenticated garbage. The decoder must
+ * refuse it and free all that it had allocated, at any byte.
  */
 static void
 test_authenticated_nonsense(void)
@@ -292,8 +295,8 @@
 }
 
 /*
- * A stranger floods the port with noise, with too long datagrams, and with
- * those of an installation that has another key. All are counted and dropped.
+ * The port is flooded with noise, with datagrams that are too long, and with
+ * those of an installation with another key. All are counted and dropped.
  */
 static void
 test_strangers(void)
--- a/tests/test-pages.c
+++ b/tests/test-pages.c
@@ -1,6 +1,6 @@
 /*
- * The pages say what is there: metrics, files and commands. A page that names
- * a file or a command which has gone sends its reader astray.
+ * The documentation matches the program: metrics, files and commands. Guards
+ * against a page that names a file or a command that no longer exists.
  */
 
 #include "cmd.h"
@@ -33,7 +33,7 @@
 		fn(page, lines[i]);
 }
 
-/* Each line of README.md and of all pages in docs. */
+/* Calls a function for each line of README.md and of all pages in docs. */
 static void
 pages_lines(page_fn fn)
 {
@@ -78,7 +78,9 @@
 	g_assert_cmpuint(rows, ==, METRIC_COUNT);
 }
 
-/* An entry VM's own metrics stand in the source that prints them. */
+/*
+ * Whether the source that prints an entry VM's own metrics contains the name.
+ */
 static bool
 entry_has_metric(const char *name)
 {
@@ -100,7 +102,7 @@
 	return false;
 }
 
-/* Names of metrics on all pages are those of metrics. */
+/* All metric names on the pages are names of existing metrics. */
 static void
 line_metrics(const char *page, const char *line)
 {
@@ -130,7 +132,10 @@
 
 /* ---- files ---- */
 
-/* In the tree's root, or beside the page; `*` stands for any part. */
+/*
+ * Whether the file exists in the tree's root or next to the page; `*` matches
+ * any part.
+ */
 static bool
 file_exists(const char *name)
 {
@@ -152,7 +157,8 @@
 	return false;
 }
 
-/* A name with the ending of a source, page, script or model. */
+/* Each file name on the line that looks like a source, page, script or model
+ * exists. */
 static void
 line_files(const char *page, const char *line)
 {
@@ -189,7 +195,10 @@
 	return *line == '\0' || g_str_has_prefix(line, "    ");
 }
 
-/* The indented lines from here on, without their indent; moves on. */
+/*
+ * Returns the indented lines from here on without their indent, and advances
+ * past them.
+ */
 static char *
 code_take(char **lines, unsigned int *i)
 {
@@ -201,7 +210,7 @@
 	return g_strstrip(g_string_free(s, FALSE));
 }
 
-/* After "From `FILE`:" comes code that stands in the file as it is here. */
+/* Code after "From `FILE`:" is in that file exactly as on the page. */
 static void
 test_style(void)
 {
@@ -229,7 +238,7 @@
 
 /* ---- words ---- */
 
-/* All sources and headers of the root, one after the other. */
+/* Returns all sources and headers of the root, concatenated. */
 static char *
 sources_read(void)
 {
@@ -247,7 +256,7 @@
 	return g_string_free(s, FALSE);
 }
 
-/* Each word of the glossary's middle column stands in the code. */
+/* Each word in the middle column of the glossary occurs in the code. */
 static void
 test_glossary(void)
 {
@@ -286,7 +295,7 @@
 	return false;
 }
 
-/* "savorypier COMMAND ... --OPTION": all of them are in the table. */
+/* Every "savorypier COMMAND ... --OPTION" on the page is in the table. */
 static void
 tool_check(const char *page, char **words)
 {
@@ -311,7 +320,7 @@
 	}
 }
 
-/* A command line of the page: its words up to a pipe or a comment. */
+/* Checks a command line of the page: its words up to a pipe or a comment. */
 static void
 command_check(const char *page, const char *text)
 {
@@ -341,7 +350,7 @@
 		g_error("%s: no target%s", page, rule);
 }
 
-/* An indented line of a page, and what stands in backticks. */
+/* Checks an indented line of a page, and the text in backticks. */
 static void
 line_commands(const char *page, const char *line)
 {
--- a/tests/test-poison.c
+++ b/tests/test-poison.c
@@ -1,9 +1,8 @@
 /*
- * Requests that end the servers that run them, on virtual time: many nodes
- * with messages that take a while and get lost, servers that end under some
- * requests and take with them whatever else is there. What a user would see
- * when it goes wrong: one caller's request takes down server after server, or
- * a request is turned away that never did any harm.
+ * Requests that crash the servers that run them, in virtual time: many nodes
+ * whose messages are delayed and lost, and servers that crash under some
+ * requests and end all other requests on them. Failures that users would see:
+ * one request crashes server after server, or a harmless request is refused.
  */
 
 #include "util-poison.h"
@@ -26,7 +25,7 @@
 
 /* ---- tests ---- */
 
-/* Guards against a request that ends one server after the other. */
+/* Guards against a request that crashes one server after the other. */
 static void
 test_ends(void)
 {
@@ -41,7 +40,7 @@
 	}
 }
 
-/* Guards against news of it that gets lost on its way. */
+/* Guards against lost updates about such a request. */
 static void
 test_lost_messages(void)
 {
@@ -57,7 +56,7 @@
 	}
 }
 
-/* Guards against nodes that start and know nothing. */
+/* Guards against nodes that start without knowledge of such requests. */
 static void
 test_restarts(void)
 {
@@ -80,7 +79,10 @@
 	}
 }
 
-/* Guards against a node that was cut off and does not hear when it is back. */
+/*
+ * Guards against a node that was partitioned and gets no updates after it is
+ * reconnected.
+ */
 static void
 test_cut_off(void)
 {
@@ -100,8 +102,9 @@
 }
 
 /*
- * Guards against requests that are turned away as they were beside: each is
- * another, and what is asked often is cleared by its answers.
+ * Guards against refusing requests that only ran on the same server at its
+ * crash: each of them is different, and a frequent one is cleared by its
+ * complete answers.
  */
 static void
 test_innocent(void)
@@ -113,7 +116,9 @@
 		poison_world_init(&w, 6, 12, seed);
 		poison_world_run(&w, 20000, 10, 2, 166);
 		g_test_message("served %u, refused %u", w.served, w.refused);
-		/* Two in a thousand, as callers count what is denied. */
+		/*
+		 * At most two in a thousand refused, as callers count refusals.
+		 */
 		g_assert_cmpuint(w.refused * 500, <=, w.served + 500 * 5);
 		poison_world_finish(&w);
 	}
@@ -125,7 +130,10 @@
 	return (struct poison_id){ 5, n };
 }
 
-/* Guards against memory that grows with the requests beside it. */
+/*
+ * Guards against memory that grows with the requests that ran on crashed
+ * servers.
+ */
 static void
 test_bounded(void)
 {
@@ -146,8 +154,8 @@
 }
 
 /*
- * Guards against a request that is refused for good, though the servers were
- * mended; and against trials that come as often as its copies.
+ * Guards against a request that stays refused after the servers were repaired,
+ * and against a trial for each of its copies.
  */
 static void
 test_trial(void)
@@ -170,7 +178,7 @@
 	g_assert_cmpint(poison_ask(p, w.now, &other), ==, POISON_WAIT);
 	poison_end(p, w.now, &other, false);
 	poison_end(p, w.now, &run, true);
-	/* Not before it is known whether the server has ended. */
+	/* Not before the outcome of the trial on the server is known. */
 	g_assert_cmpint(poison_ask(p, w.now, &other), ==, POISON_WAIT);
 	poison_end(p, w.now, &other, false);
 	poison_ended(p, w.now, any_id(1), 90);
@@ -187,8 +195,7 @@
 	poison_world_finish(&w);
 }
 
-/* Guards against a whole answer that one node knows of and the others do not.
- */
+/* Guards against a complete answer that only one node has recorded. */
 static void
 test_cleared_everywhere(void)
 {
@@ -207,7 +214,7 @@
 	for (i = 0; i < w.n; i++)
 		g_assert_cmpuint(
 		    poison_ends(&w.nodes[i].core, any_id(1)), ==, 0);
-	/* An old word does not bring it back. */
+	/* A stale update does not restore the suspicion. */
 	poison_world_run(&w, 5000, 0, 0, 1);
 	g_assert_cmpuint(poison_ends(&w.nodes[0].core, any_id(1)), ==, 0);
 	poison_world_finish(&w);
@@ -226,8 +233,10 @@
 		    poison_is_condemned(&w->nodes[i].core, w->now, any_id(n)));
 }
 
-/* Guards against a process that has just started and knows nothing, whoever it
- * is. */
+/*
+ * Guards against a process that has just started without state, whichever node
+ * it is.
+ */
 static void
 test_started(void)
 {
@@ -250,7 +259,7 @@
 	poison_world_finish(&w);
 }
 
-/* Guards against a node that news did not reach, though it is held alive. */
+/* Guards against a node that missed an update although it is held alive. */
 static void
 test_missed(void)
 {
@@ -269,7 +278,7 @@
 	poison_world_finish(&w);
 }
 
-/* Guards against one message that is lost: it is sent again. */
+/* Guards against the loss of one message: it is sent again. */
 static void
 test_sent_again(void)
 {
@@ -291,7 +300,7 @@
 	poison_world_finish(&w);
 }
 
-/* Guards against a suspect that several nodes try at the same time. */
+/* Guards against concurrent trials of one suspect request by several nodes. */
 static void
 test_one_at_a_time(void)
 {
@@ -313,7 +322,7 @@
 	poison_world_finish(&w);
 }
 
-/* Guards against a node that comes back and knows only what was before. */
+/* Guards against a node that is reconnected with stale state. */
 static void
 test_old_word(void)
 {
@@ -335,7 +344,8 @@
 	poison_world_finish(&w);
 }
 
-/* Guards against an owner that is gone: one end alone does not stop a request.
+/*
+ * Guards against a lost owner: a single crash does not get a request refused.
  */
 static void
 test_owner_silent(void)
@@ -357,7 +367,7 @@
 	poison_world_finish(&w);
 }
 
-/* Guards against names that two different requests share. */
+/* Guards against two different requests with the same identifier. */
 static void
 test_names(void)
 {
@@ -376,7 +386,10 @@
 	g_assert_false(poison_id_is_none(id));
 }
 
-/* Guards against news of a large fleet that costs more than its links bear. */
+/*
+ * Guards against updates in a large fleet that exceed the bandwidth of its
+ * links.
+ */
 static void
 test_large(void)
 {
--- a/tests/test-ring.c
+++ b/tests/test-ring.c
@@ -1,6 +1,6 @@
 /*
- * The ring between threads: everything put arrives once, in each sender's
- * order, and a full ring says so.
+ * The ring buffer between threads: each item put arrives once, in each sender's
+ * order, and putting into a full ring reports an error.
  */
 
 #include "ring.h"
--- a/tests/test-settings.c
+++ b/tests/test-settings.c
@@ -1,6 +1,6 @@
 /*
- * The settings, and with them the walker under every YAML file: what is right
- * is taken, and whatever is wrong is reported at once with its place.
+ * The settings, and the walker that reads every YAML file: valid input is
+ * accepted, and all errors are reported at once with line and column.
  */
 
 #include "settings.h"
@@ -17,7 +17,10 @@
 	"'http://127.0.0.1:2',\n"                                 \
 	"  weights: 'http://127.0.0.1:3/w/'}\n"
 
-/* Parse; the findings as "line:column text" lines, "" when there is none. */
+/*
+ * Parses a text; returns the findings as "line:column text" lines, "" when
+ * there are none.
+ */
 static char *
 findings_of(const char *text, size_t len)
 {
@@ -46,7 +49,7 @@
 	g_assert_cmpstr(got, ==, want);
 }
 
-/* The settings of both deployments pass the daemon's own check. */
+/* The settings of both deployments pass the daemon's check. */
 static void
 test_deployments(void)
 {
@@ -123,9 +126,9 @@
 test_all_at_once(void)
 {
 	/*
-	 * An operator writes a settings file with many slips. Were they told
-	 * one a run, a roll-out would take as many tries as there are slips;
-	 * each has to come at once, in the file's order, with its place.
+	 * A settings file has many errors. If each run reported only one, a
+	 * roll-out would take as many tries as there are errors; all must be
+	 * reported at once, in the file's order, with line and column.
 	 */
 	check("node: Entry 1\n"
 	      "domian: hall-grandi\n"
@@ -172,9 +175,10 @@
 test_peer_key(void)
 {
 	/*
-	 * Two nodes with different keys drop each other's messages and each
-	 * thinks the other dead. A key that is missing, given twice or not
-	 * readable must therefore stop the start, not fall back to none.
+	 * Two nodes with different keys drop each other's messages, and each
+	 * holds the other dead. A key that is missing, given twice or not
+	 * readable must therefore prevent the start instead of falling back to
+	 * no key.
 	 */
 	check(GOOD, "1:1 missing key \"peer_key\" or \"peer_key_file\" in the "
 		    "settings\n");
@@ -225,9 +229,9 @@
 test_bad_bytes(void)
 {
 	/*
-	 * A file saved as Latin-1, with a NUL and an escape in it. The reader
-	 * of YAML stops at the first such byte; the operator would mend it
-	 * and meet the next. Here all show, and so do the other slips.
+	 * A file saved as Latin-1, with a NUL and an escape character. The YAML
+	 * reader stops at the first such byte, so the operator would find them
+	 * one by one. All must be reported, along with the other errors.
 	 */
 	static const char text[] = "node: entr\xe9\ndomain: h\x1b\nx\0y: 1\n";
 	g_autofree char *got = findings_of(text, sizeof text - 1);
@@ -248,9 +252,9 @@
 test_alias_bomb(void)
 {
 	/*
-	 * A file of a few lines whose aliases stand for 9^9 nodes ("billion
-	 * laughs"), or for themselves. A walker that follows all of them
-	 * hangs the daemon's start; this one stops at its bounds.
+	 * A short file whose aliases expand to 9^9 nodes ("billion laughs"), or
+	 * refer to themselves. A walker that follows all of them hangs the
+	 * daemon's start; this one stops at its bounds.
 	 */
 	GString *s = g_string_new("a: &a [x,x,x,x,x,x,x,x,x]\n");
 	int c;
@@ -328,7 +332,7 @@
 {
 }
 
-/* Any bytes at all end in findings, not in a crash or a hang. */
+/* Random bytes result in findings, not in a crash or a hang. */
 static void
 test_noise(void)
 {
--- a/tests/test-share.c
+++ b/tests/test-share.c
@@ -1,6 +1,9 @@
 /*
- * Limits of organisations over all nodes: what the shares add up to, and what
- * is admitted, on the simulated network under loss, deaths, joins and leaves.
+ * Limits of organisations across all nodes: the sum of the nodes' shares, and
+ * the requests admitted, on the simulated network under loss, crashes, joins
+ * and leaves.
+ *
+ * This tests share.c, which splits limits between nodes.
  */
 
 #include "util-fleet.h"
@@ -13,7 +16,7 @@
 #define SERVICE 1
 #define ORG 2
 #define STEP ((msec)10)
-/* Requests in flight that end within one second. */
+/* Every request ends within this many steps. */
 #define FLIGHT_STEPS 50
 #define ANSWER_TOKENS 40
 
@@ -22,13 +25,13 @@
 	struct shares shares[NODES_MAX];
 	bool started[NODES_MAX];
 	struct doc_limits limits;
-	unsigned int per_second;    /* requests that come */
-	unsigned int skew_permille; /* of them to node 0 */
+	unsigned int per_second;    /* arriving requests */
+	unsigned int skew_permille; /* fraction of them sent to node 0 */
 	GRand *rand;
-	unsigned int ending[NODES_MAX][FLIGHT_STEPS]; /* by step */
+	unsigned int ending[NODES_MAX][FLIGHT_STEPS]; /* by final step */
 	unsigned int running[NODES_MAX];
 	unsigned int step;
-	/* Measured. */
+	/* Results of the run. */
 	int64_t worst[SHARE_KINDS]; /* sum of allowances, permille */
 	unsigned int most_running;
 	uint64_t came, admitted;
@@ -121,7 +124,7 @@
 	g_rand_free(w.rand);
 }
 
-/* What a node takes for the nodes that take work. */
+/* The nodes that, in this node's view, take work. */
 static void
 world_set_nodes(unsigned int i)
 {
@@ -234,9 +237,9 @@
 }
 
 /*
- * Callers of one organisation are spread over all nodes and ask for three
- * times its limit. Together they must get the limit, and not a node each the
- * limit; and without a message for each request.
+ * Callers of one organisation are spread over all nodes and send three times
+ * its limit. Together they must get the limit, not the limit once per node, and
+ * without a message for each request.
  */
 static void
 test_spread(void)
@@ -260,9 +263,9 @@
 }
 
 /*
- * All callers of the organisation sit behind one address and use one node.
- * It alone must come near the whole limit, by what the others do not use, and
- * give way soon when callers come elsewhere.
+ * All callers of the organisation have one address and use one node. It alone
+ * must come near the whole limit by borrowing what the others do not use, and
+ * give it back soon when callers arrive elsewhere.
  */
 static void
 test_skew(void)
@@ -281,13 +284,18 @@
 		       "at worst %d permille, %.1f messages/s",
 	    rate, (int)w.worst[0], (double)w.messages / 20);
 	g_assert_cmpfloat(rate, >, 150);
-	/* Lenders that have no callers of their own must not forget loans. */
+	/*
+	 * Lenders without callers of their own must keep track of their loans.
+	 */
 	world_run(100 * MSEC_SECOND);
 	g_assert_cmpint(w.worst[0], <=, 1000);
 	g_assert_cmpint(w.worst[1], <=, 1000);
 	g_assert_cmpint(w.worst[2], <=, 1000);
 	w.skew_permille = 0;
-	/* What idle nodes have saved up, a second's worth, is used first. */
+	/*
+	 * The saved-up allowance of idle nodes, worth one second, is used
+	 * first.
+	 */
 	world_run(15 * MSEC_SECOND);
 	world_reset();
 	world_run(20 * MSEC_SECOND);
@@ -299,8 +307,8 @@
 }
 
 /*
- * A small organisation may have three requests in flight, on 8 nodes. Split
- * evenly each node would have less than one, and nothing would ever run.
+ * An organisation may have three requests in flight on 8 nodes. An even split
+ * gives each node less than one, so that no request would ever run.
  */
 static void
 test_small_limit(void)
@@ -320,7 +328,10 @@
 		g_test_message("3 in flight: most %u, admitted %.1f/s",
 		    w.most_running, rate);
 		g_assert_cmpuint(w.most_running, <=, 3);
-		/* Three, a quarter of a second each: 12 a second at best. */
+		/*
+		 * Three in flight of a quarter of a second each: at most 12 a
+		 * second.
+		 */
 		g_assert_cmpfloat(rate, >, 6);
 		g_assert_cmpint(w.worst[2], <=, 1000);
 		world_finish();
@@ -329,9 +340,9 @@
 
 /*
  * Lenders and borrowers crash, restart, leave and are suspected while the
- * network loses one datagram in twenty. Shares that died with their holder
- * must come back, and at no moment may the shares in use add up to more than
- * the limit, or the organisation's bill does.
+ * network loses one datagram in twenty. Shares lost with their holder must come
+ * back, and at no moment may the shares in use add up to more than the limit,
+ * as the organisation would be billed for more than it allowed.
  */
 static void
 test_churn(void)
@@ -379,7 +390,10 @@
 		world_run(10 * MSEC_SECOND);
 		g_test_message("after: admitted %.1f/s of 200",
 		    world_rate(10 * MSEC_SECOND));
-		/* What is in flight, split into 7 or 8 a node, binds first. */
+		/*
+		 * The in-flight limit, split into 7 or 8 per node, is reached
+		 * first.
+		 */
 		g_assert_cmpfloat(world_rate(10 * MSEC_SECOND), >, 150);
 		g_assert_cmpfloat(world_rate(10 * MSEC_SECOND), <=, 201);
 		world_finish();
@@ -388,9 +402,9 @@
 }
 
 /*
- * A borrower is frozen for ten seconds with a loan in its hands and wakes.
- * The lender has long used its share again. The borrower must see at once
- * that the loan is over, whatever the clock of the lender says.
+ * A borrower is paused for ten seconds while it has a loan and resumes. The
+ * lender uses its share again by then. The borrower must detect at once that
+ * the loan has expired, independent of the lender's clock.
  */
 static void
 test_paused_borrower(void)
@@ -424,7 +438,7 @@
 	caught = *msg;
 }
 
-/* Two nodes whose shares have been raised; the time after that. */
+/* Two nodes whose shares have been raised; returns the time after that. */
 static msec
 pair_init(
     struct shares *lender, struct shares *borrower, struct doc_limits limits)
@@ -446,9 +460,9 @@
 }
 
 /*
- * A caller's stream takes minutes. It is admitted on a loan that is just
- * about to lapse, and the lender, which has its share back then, admits
- * another: one more than the limit in flight for minutes.
+ * A stream that takes minutes is admitted on a loan that is about to expire.
+ * The lender gets its share back then and must not admit another request: one
+ * more than the limit would be in flight for minutes.
  */
 static void
 test_lapsing_loan(void)
@@ -475,9 +489,9 @@
 }
 
 /*
- * The network is slow: the ask takes 900 ms to the lender, the answer as long
- * back. A borrower that counted the loan from the answer would use it while
- * the lender uses it again.
+ * The network is slow: the loan request takes 900 ms to the lender, the answer
+ * as long back. A borrower that timed the loan from the answer would use it
+ * while the lender uses it again.
  */
 static void
 test_late_answer(void)
@@ -502,7 +516,7 @@
 		;
 	g_assert_cmpuint(i, ==, caught.sp_msg_u.share.credit / 1000);
 	g_assert_cmpuint(i, >, 0);
-	/* A second copy must not count twice. */
+	/* A duplicate of the answer must not count twice. */
 	shares_receive(&borrower, t + 1800, 11, &caught);
 	g_assert_false(shares_take(&borrower, t + 1800, SERVICE, ORG, 1));
 	g_assert_cmpint(shares_allowance(&borrower, t + SHARE_LOAN - 1, SERVICE,
@@ -522,9 +536,9 @@
 }
 
 /*
- * The fleet is cut in two. Each half cannot know of the other and goes on
- * with the whole limit: the bound is the number of parts, and it is back to
- * one soon after the halves meet again.
+ * The fleet is partitioned in two, and each half goes on with the whole limit,
+ * as it cannot know of the other. The bound is the limit times the number of
+ * parts, and returns to the limit soon after the halves rejoin.
  */
 static void
 test_partition(void)
@@ -583,9 +597,9 @@
 
 /*
  * An organisation sends its first request some seconds after an entry VM has
- * started, and is refused for as long as if the VM had started just then. A
- * share waits for what was lent before the start; so it must count from the
- * start, whenever it is first asked for.
+ * started. A share waits until loans from before the start have expired; that
+ * wait must count from the start of the VM, not from the first use of the
+ * share, or the request is refused without need.
  */
 static void
 test_first_use_after_start(void)
--- a/tests/test-sse.c
+++ b/tests/test-sse.c
@@ -1,6 +1,6 @@
 /*
- * Splitting an engine's stream: whatever the chunks, whole events only, and
- * the count of tokens is exact.
+ * Splitting an engine's stream: whatever the chunks, only whole events are
+ * forwarded, and the count of tokens is exact.
  */
 
 #include "sse.h"
@@ -19,7 +19,7 @@
 
 	g_string_append_len(s->bytes, p, (gssize)n);
 	s->tokens += tokens;
-	/* What goes out always ends with a whole event. */
+	/* The output always ends with a whole event. */
 	g_assert_cmpint(s->bytes->str[s->bytes->len - 1], ==, '\n');
 }
 
@@ -54,7 +54,8 @@
 
 /*
  * An engine crashes in the middle of an event. The caller must get the events
- * before it and no part of it, so that the next engine's token fits on.
+ * before it and no part of it, so that the stream can continue with the next
+ * engine's token.
  */
 static void
 test_cut_inside_event(void)
@@ -72,7 +73,7 @@
 	g_string_free(seen.bytes, TRUE);
 }
 
-/* An engine that never ends an event would fill the memory. */
+/* Guards against unbounded memory for an engine that never ends an event. */
 static void
 test_endless_event(void)
 {
--- a/tests/test-ticket.c
+++ b/tests/test-ticket.c
@@ -1,6 +1,7 @@
 /*
- * Tickets: run once, by the incarnation that issued them, for the
- * organisation and the body they were first used with, and not too late.
+ * Tickets: a request runs once, on the incarnation that issued the ticket, for
+ * the organisation and the body of its first use, and before the ticket
+ * expires.
  */
 
 #include "ticket.h"
@@ -39,9 +40,9 @@
 }
 
 /*
- * A driver books a haul, the answer is lost on the way, the app sends the
- * request again with its ticket. The booking must not be made twice: the
- * second use is told apart and finds the first by its serial.
+ * The answer to a booking is lost, and the app sends the request again with its
+ * ticket. The booking must not be made twice: the second use is detected and
+ * finds the first by its serial.
  */
 static void
 test_once(struct fixture *x, gconstpointer arg)
@@ -58,8 +59,8 @@
 }
 
 /*
- * A driver's first try with a ticket is refused because its VM is full:
- * nothing ran. The app asks again with the same ticket, and it runs then, once.
+ * The first request with a ticket is refused because its VM is full, so nothing
+ * ran. The app sends it again with the same ticket, and it runs then, once.
  */
 static void
 test_unuse(struct fixture *x, gconstpointer arg)
@@ -72,9 +73,9 @@
 }
 
 /*
- * An app takes the ticket of one booking for another by mistake. Run, it
- * would be no retry; answered with the first's answer, the second booking
- * would seem made. It must be an error of its own.
+ * An app uses the ticket of one booking for another by mistake. It is no retry,
+ * so it must not run; with the answer of the first, the second booking would
+ * seem made. It must be an error of its own.
  */
 static void
 test_other_body(struct fixture *x, gconstpointer arg)
@@ -85,8 +86,8 @@
 }
 
 /*
- * A ticket gets into the hands of another organisation. It must neither use
- * it up nor learn whether it was used.
+ * Another organisation obtains a ticket. It must neither use it up nor learn
+ * whether it was used.
  */
 static void
 test_foreign(struct fixture *x, gconstpointer arg)
@@ -97,8 +98,8 @@
 }
 
 /*
- * Every single letter of the text changed to every other one, and every
- * shorter text: none may be taken for a ticket, whichever field it hits.
+ * Each character of the text replaced by every other one, and each shorter
+ * text: none may be accepted as a ticket, whichever field is affected.
  */
 static void
 test_forged(struct fixture *x, gconstpointer arg)
@@ -126,7 +127,7 @@
 	g_assert_cmpint(use(x, ORG, BODY), ==, TICKET_FORGED);
 }
 
-/* Issued under another key, as by a node of another installation. */
+/* A ticket issued under another key, as by a node of another installation. */
 static void
 test_other_key(struct fixture *x, gconstpointer arg)
 {
@@ -140,9 +141,9 @@
 }
 
 /*
- * The node crashes after it ran a request and is started again. It has
- * forgotten what it ran, so it must not run the ticket; nor may any other
- * node. Both must say where it belongs.
+ * The node crashes after it ran a request, and restarts without its record of
+ * used tickets, so it must not run the ticket; nor may any other node. Both
+ * must name the node that issued it.
  */
 static void
 test_other_incarnation(struct fixture *x, gconstpointer arg)
@@ -164,8 +165,8 @@
 }
 
 /*
- * A phone was off overnight and sends its retry in the morning. The use is
- * long forgotten; the ticket must be expired, not run again.
+ * A client sends a retry many hours later. The use is no longer on record; the
+ * ticket must be expired, not run again.
  */
 static void
 test_expiry(struct fixture *x, gconstpointer arg)
@@ -186,9 +187,9 @@
 }
 
 /*
- * Callers fetch tickets and use few of them, then all of them, for longer
- * than a ticket lives. Memory must stay bounded, and the price of the bound
- * be early expiry, never a second run.
+ * Callers fetch tickets and use few of them, then all of them, for longer than
+ * a ticket's lifetime. Memory must stay bounded, at the cost of early expiry,
+ * never of a second run.
  */
 static void
 test_memory(struct fixture *x, gconstpointer arg)
@@ -216,7 +217,7 @@
 	g_assert_cmpint(
 	    ticket_use(&x->book, x->now, texts[1], ORG, BODY, &x->ticket), ==,
 	    TICKET_USED);
-	/* The very first use was forgotten for it. */
+	/* The record of the first use was dropped to make room. */
 	g_assert_cmpint(use(x, ORG, BODY), ==, TICKET_EXPIRED);
 	x->now += TICKET_LIFE;
 	ticket_book_tick(&x->book, x->now);
