--- a/tests/test-lease.c
+++ b/tests/test-lease.c
@@ -31,7 +31,7 @@
 	uint64_t n;
 	struct node nodes[NODES];
 	bool log_down;
-	/* Orders that engines have received: lease number and time. */
+	/* Orders given; highest fencing number sent to unfenced engines. */
 	uint64_t highest_unfenced;
 	unsigned int orders, stale_unfenced, terms;
 };
@@ -188,7 +188,7 @@
 	g_assert_cmpuint(b->user.fencing, ==, 2);
 	g_assert_false(lease_user_may_order(&a->user, w.now, true));
 	/*
-	 * Engines that don't check the lease number get orders only after a
+	 * Engines that don't check the fencing number get orders only after a
 	 * further term.
 	 */
 	g_assert_true(lease_user_may_order(&b->user, w.now, true));
@@ -323,7 +323,7 @@
 }
 
 /*
- * Only one node may order at a time; lease numbers sent to unfenced engines
+ * Only one node may order at a time; fencing numbers sent to unfenced engines
  * never decrease.
  */
 static void
@@ -411,7 +411,7 @@
 		world_finish(w);
 		g_rand_free(rand);
 	}
-	g_test_message("%u times somebody could order", orders);
+	g_test_message("a node could order in %u checks", orders);
 	g_assert_cmpuint(orders, >, SEEDS * 100);
 	g_free(w);
 }
--- a/tests/test-library.c
+++ b/tests/test-library.c
@@ -74,7 +74,7 @@
 	g_assert_true(
 	    g_file_get_contents("libsavorypier.map", &have, NULL, NULL));
 	if (strcmp(want, have) != 0)
-		g_error("libsavorypier.map is old: run make symbols");
+		g_error("libsavorypier.map is outdated: run make symbols");
 }
 
 /* The linked library exports each listed symbol and no other. */
@@ -92,7 +92,7 @@
 		  "libsavorypier.map | LC_ALL=C sort");
 
 	if (strcmp(have, want) != 0)
-		g_error("exported, but not listed, or the reverse");
+		g_error("exported symbols differ from libsavorypier.map");
 }
 
 /* ---- comments ---- */
@@ -148,7 +148,7 @@
 			explained = true;
 		else if (depth == 0 && !explained && !line_is_plain(lines[i]) &&
 			 strstr(lines[i], "/*") == NULL)
-			g_error("%s:%u: without a comment", name, i + 1);
+			g_error("%s:%u: comment missing", name, i + 1);
 		depth += braces(lines[i]);
 	}
 }
--- a/tests/test-member.c
+++ b/tests/test-member.c
@@ -13,11 +13,11 @@
 static const unsigned int sizes[] = { 3, 8, 17, 40 };
 
 /* Prints the seed on failure, so that the run can be repeated. */
-#define assert_within(what, took, bound, n, seed)                    \
-	do {                                                         \
-		if ((took) < 0 || (took) > (bound))                  \
-			g_error("%s took %d ms, n %u seed %u", what, \
-			    (int)(took), (n), (seed));               \
+#define assert_within(what, took, bound, n, seed)                         \
+	do {                                                              \
+		if ((took) < 0 || (took) > (bound))                       \
+			g_error("%s took %d ms, %u nodes, seed %u", what, \
+			    (int)(took), (n), (seed));                    \
 	} while (0)
 
 static void
@@ -73,7 +73,7 @@
 			took = fleet_run_until(&f, 1, MEMBER_DEAD, 8000);
 			assert_within("death", took, 5000, sizes[i], seed);
 			took = fleet_run_until_agreed(&f, 5000);
-			assert_within("calm", took, 5000, sizes[i], seed);
+			assert_within("agreement", took, 5000, sizes[i], seed);
 			fleet_finish(&f);
 		}
 	}
@@ -447,7 +447,7 @@
 	for (i = 0; i < f.n; i++)
 		f.nodes[i].region = 0;
 	took = fleet_run_until_agreed(&f, 60 * MSEC_SECOND);
-	g_test_message("joined again after %d ms", (int)took);
+	g_test_message("rejoined after %d ms", (int)took);
 	assert_within("joining", took, 30 * MSEC_SECOND, f.n, 11U);
 	fleet_finish(&f);
 }
--- a/tests/test-pages.c
+++ b/tests/test-pages.c
@@ -70,7 +70,7 @@
 		row = g_strdup_printf("\n| `savory_%s` | %s | %s", info->name,
 		    info->type, info->help);
 		if ((at = strstr(at, row)) == NULL)
-			g_error("METRICS.md has no row, or not here:%s", row);
+			g_error("METRICS.md: row missing or misplaced:%s", row);
 	}
 	g_regex_match(re, page, 0, &m);
 	for (; g_match_info_matches(m); g_match_info_next(m, NULL))
@@ -229,7 +229,7 @@
 		code = code_take(lines, &i);
 		if (strstr(source, code) == NULL)
 			g_error(
-			    "%s is not as STYLE.md has it:\n%s", name, code);
+			    "%s lacks this code of STYLE.md:\n%s", name, code);
 		n++;
 		i--;
 	}
@@ -278,7 +278,8 @@
 			g_autofree char *word = g_match_info_fetch(m, 1);
 
 			if (strstr(sources, word) == NULL)
-				g_error("GLOSSARY.md: no %s in code", word);
+				g_error(
+				    "GLOSSARY.md: %s is not in the code", word);
 		}
 	}
 }
--- a/tests/test-share.c
+++ b/tests/test-share.c
@@ -300,7 +300,7 @@
 	world_reset();
 	world_run(20 * MSEC_SECOND);
 	rate = world_rate(20 * MSEC_SECOND);
-	g_test_message("spread again: admitted %.1f/s", rate);
+	g_test_message("evenly spread again: admitted %.1f/s", rate);
 	g_assert_cmpfloat(rate, >, 180);
 	g_assert_cmpfloat(rate, <=, 201);
 	world_finish();
@@ -551,7 +551,8 @@
 	for (i = 0; i < 8; i++)
 		w.fleet.nodes[i].region = i % 2;
 	world_run(30 * MSEC_SECOND);
-	g_test_message("two parts: %d permille", (int)w.worst[0]);
+	g_test_message(
+	    "two partitions: shares at worst %d permille", (int)w.worst[0]);
 	g_assert_cmpint(w.worst[0], <=, 2000);
 	g_assert_cmpint(w.worst[0], >, 1900);
 	for (i = 0; i < 8; i++)
