--- a/tests/test-duty.c
+++ b/tests/test-duty.c
@@ -26,8 +26,7 @@
 	struct duty duty;
 	struct world *world;
 	unsigned int index;
-	bool up, takes_work, cut, deaf; /* cut: cannot reach the log; deaf:
-					   receives nothing from nodes */
+	bool up, takes_work, cut, deaf;
 	msec asleep_until;
 	msec born;
 	struct era era;
--- a/tests/test-lease.c
+++ b/tests/test-lease.c
@@ -17,10 +17,10 @@
 struct node {
 	struct lease_fold fold;
 	struct lease_user user;
-	double speed;	   /* of its clock */
-	msec ahead;	   /* of its clock */
+	double speed;	   /* relative to true time */
+	msec ahead;	   /* offset to true time */
 	msec paused_until; /* true time */
-	char *flying;	   /* a pending append */
+	char *flying;	   /* record, or NULL */
 	msec lands_at;
 };
 
