--- a/capacity.c
+++ b/capacity.c
@@ -14,37 +14,37 @@
  * Target part of the time that servers process prompts at the peak: streams on
  * a server miss their gap targets while it processes a prompt.
  */
-#define CAPACITY_READING_PERCENT 40.0
+#define CAPACITY_PREFILL_PERCENT 40.0
 /* Maximum part; above it requests are late or refused, so servers of any price
  * are ordered. */
-#define CAPACITY_ESSENTIAL_PERCENT 90.0
+#define CAPACITY_PREFILL_MAX_PERCENT 90.0
 /* Target number of streams per server at the peak. */
-#define CAPACITY_STREAMS 16.0
+#define CAPACITY_STREAMS_PER_SERVER 16.0
 /* Time after which a report is ignored; without any, no scaling down. */
-#define CAPACITY_FRESH_MS 3000
+#define CAPACITY_REPORT_TTL_MS 3000
 /* Time without new lasting servers after which a new holder's count is final.
  */
 #define CAPACITY_SETTLE_MS 700
 /* Steps down: interval, and part of the needed servers removed by each. */
-#define CAPACITY_STEP_MS 5000
-#define CAPACITY_STEP_PERCENT 20
+#define CAPACITY_STEP_DOWN_MS 5000
+#define CAPACITY_STEP_DOWN_PERCENT 20
 /* Steps from lasting to reclaimable servers under load: interval and part. */
-#define CAPACITY_MOVE_MS 2000
-#define CAPACITY_MOVE_PERCENT 25
+#define CAPACITY_REPLACE_MS 2000
+#define CAPACITY_REPLACE_PERCENT 25
 /* Time after the boot time before missing servers are ordered again. */
-#define CAPACITY_LATE_MS 2500
+#define CAPACITY_ORDER_TIMEOUT_MS 2500
 /* Time without orders after none were available. */
-#define CAPACITY_REFUSED_MS 2500
+#define CAPACITY_UNAVAILABLE_MS 2500
 /* Minimum interval between orders of a kind in a domain. */
-#define CAPACITY_ORDER_MS 1000
+#define CAPACITY_ORDER_INTERVAL_MS 1000
 /*
  * Limits on server changes, as every node must be notified of each, and all
  * nodes read the list again if that fails: notifications per second to all
  * nodes together, changes per second, and burst as a multiple of that rate.
  */
-#define CAPACITY_HEARD_PER_S 2600.0
+#define CAPACITY_NOTIFICATIONS_PER_S 2600.0
 #define CAPACITY_CHANGES_PER_S 40.0
-#define CAPACITY_CHANGES_AT_ONCE 1.5
+#define CAPACITY_CHANGES_BURST 1.5
 /* Tokens per ms above which a report is implausible. */
 #define CAPACITY_RATE_MAX 1e6
 
@@ -94,8 +94,8 @@
 }
 
 static bool
-terms_same_domains(
-    const struct capacity_terms *a, const struct capacity_terms *b)
+config_same_domains(
+    const struct capacity_config *a, const struct capacity_config *b)
 {
 	unsigned int i;
 
@@ -109,8 +109,8 @@
 }
 
 void
-capacity_set_terms(
-    struct capacity *c, const struct capacity_terms *terms, unsigned int n)
+capacity_set_config(
+    struct capacity *c, const struct capacity_config *config, unsigned int n)
 {
 	struct capacity_service *all, *old;
 	unsigned int i;
@@ -118,16 +118,17 @@
 	n = MIN(n, CAPACITY_SERVICES_MAX);
 	all = g_new0(struct capacity_service, n);
 	for (i = 0; i < n; i++) {
-		old = capacity_find(c, name_hash(terms[i].name));
-		if (old != NULL && terms_same_domains(&old->terms, &terms[i])) {
+		old = capacity_find(c, name_hash(config[i].name));
+		if (old != NULL &&
+		    config_same_domains(&old->config, &config[i])) {
 			all[i] = *old;
 			g_hash_table_ref(all[i].reports);
 		} else {
-			all[i].id = name_hash(terms[i].name);
+			all[i].id = name_hash(config[i].name);
 			all[i].reports = g_hash_table_new_full(
 			    g_int64_hash, g_int64_equal, g_free, g_free);
 		}
-		all[i].terms = terms[i];
+		all[i].config = config[i];
 	}
 	capacity_finish(c);
 	c->services = all;
@@ -135,11 +136,11 @@
 }
 
 void
-capacity_hold(struct capacity *c, msec now, bool holds)
+capacity_set_holder(struct capacity *c, msec now, bool is_holder)
 {
 	unsigned int i, j, k;
 
-	c->holds = holds;
+	c->is_holder = is_holder;
 	c->since = now;
 	for (i = 0; i < c->nservices; i++) {
 		struct capacity_service *s = &c->services[i];
@@ -147,15 +148,15 @@
 		for (j = 0; j < CAPACITY_DOMAINS_MAX; j++) {
 			for (k = 0; k < CAPACITY_KINDS; k++)
 				s->domains[j].kinds[k] =
-				    (struct capacity_place){ 0 };
+				    (struct capacity_pool){ 0 };
 		}
 		g_hash_table_remove_all(s->reports);
 		memset(s->peaks, 0, sizeof s->peaks);
 		memset(s->urgent_peaks, 0, sizeof s->urgent_peaks);
 		memset(s->busy_peaks, 0, sizeof s->busy_peaks);
-		s->asked = s->reported = 0;
-		s->found = s->found_lasting = s->found_reclaimable = 0;
-		s->held = 0;
+		s->first_request_at = s->reported_at = 0;
+		s->found_total = s->found_lasting = s->found_reclaimable = 0;
+		s->previous_needed = 0;
 	}
 }
 
@@ -164,7 +165,7 @@
 {
 	unsigned int i, j, k;
 
-	c->knows_all = all;
+	c->ready_complete = all;
 	for (i = 0; i < c->nservices; i++) {
 		for (j = 0; j < CAPACITY_DOMAINS_MAX; j++) {
 			for (k = 0; k < CAPACITY_KINDS; k++)
@@ -182,8 +183,8 @@
 
 	if (s == NULL)
 		return;
-	for (i = 0; i < s->terms.ndomains; i++) {
-		if (strcmp(s->terms.domains[i].name, domain) == 0)
+	for (i = 0; i < s->config.ndomains; i++) {
+		if (strcmp(s->config.domains[i].name, domain) == 0)
 			s->domains[i].kinds[kind].ready++;
 	}
 }
@@ -215,21 +216,21 @@
 	}
 	if (rate > CAPACITY_RATE_MAX || urgent > rate) {
 		log_info("ignored implausible demand of %.0f tokens/ms for %s",
-		    rate, s->terms.name);
+		    rate, s->config.name);
 		c->counters.dropped++;
 		rate = urgent = 0;
 	}
 	*r = (struct capacity_report){ now, m->tokens, m->urgent_tokens, rate,
 		urgent, m->running };
-	s->reported = now;
-	if (s->asked == 0 && m->requests > 0)
-		s->asked = now;
+	s->reported_at = now;
+	if (s->first_request_at == 0 && m->requests > 0)
+		s->first_request_at = now;
 }
 
 /* Sums the recent reports of all coordinators. */
 static void
-service_sum(struct capacity_service *s, msec now, double *rate, double *urgent,
-    double *running)
+service_sum_reports(struct capacity_service *s, msec now, double *rate,
+    double *urgent, double *running)
 {
 	GHashTableIter i;
 	gpointer value;
@@ -239,7 +240,7 @@
 	while (g_hash_table_iter_next(&i, NULL, &value)) {
 		const struct capacity_report *r = value;
 
-		if (now - r->at > CAPACITY_FRESH_MS)
+		if (now - r->at > CAPACITY_REPORT_TTL_MS)
 			continue;
 		*rate += r->rate;
 		*urgent += r->urgent_rate;
@@ -248,19 +249,19 @@
 }
 
 static double
-peak_of(const double *seconds)
+peak_value(const double *seconds)
 {
-	double most = 0;
+	double maximum = 0;
 	unsigned int i;
 
 	for (i = 0; i < CAPACITY_PEAK_S; i++)
-		most = MAX(most, seconds[i]);
-	return most;
+		maximum = MAX(maximum, seconds[i]);
+	return maximum;
 }
 
 /* Records the current demand and updates the peaks. */
 static void
-service_watch(struct capacity_service *s, msec now)
+service_record_demand(struct capacity_service *s, msec now)
 {
 	msec second = now / MSEC_SECOND;
 	double rate, urgent, running;
@@ -272,13 +273,13 @@
 		at = (unsigned int)((s->second + 1) % CAPACITY_PEAK_S);
 		s->peaks[at] = s->urgent_peaks[at] = s->busy_peaks[at] = 0;
 	}
-	service_sum(s, now, &rate, &urgent, &running);
+	service_sum_reports(s, now, &rate, &urgent, &running);
 	at = (unsigned int)(second % CAPACITY_PEAK_S);
 	s->peaks[at] = MAX(s->peaks[at], rate);
 	s->urgent_peaks[at] = MAX(s->urgent_peaks[at], urgent);
 	s->busy_peaks[at] = MAX(s->busy_peaks[at], running);
-	s->tokens_per_ms = peak_of(s->peaks);
-	s->running = peak_of(s->busy_peaks);
+	s->tokens_per_ms = peak_value(s->peaks);
+	s->running = peak_value(s->busy_peaks);
 }
 
 /* ---- decisions ---- */
@@ -288,81 +289,81 @@
 {
 	unsigned int i, n = 0;
 
-	for (i = 0; i < s->terms.ndomains; i++)
+	for (i = 0; i < s->config.ndomains; i++)
 		n += s->domains[i].kinds[kind].ready;
 	return n;
 }
 
 /* Servers that are ready or expected from an accepted order. */
 static unsigned int
-place_coming(
-    const struct capacity_service *s, const struct capacity_place *p, msec now)
+pool_expected(
+    const struct capacity_service *s, const struct capacity_pool *p, msec now)
 {
 	if (p->is_ordered && now >= p->refused_until &&
-	    now - p->ordered_at < s->terms.boot + CAPACITY_LATE_MS)
+	    now - p->ordered_at < s->config.boot + CAPACITY_ORDER_TIMEOUT_MS)
 		return MAX(p->ordered, p->ready);
 	return p->ready;
 }
 
 static unsigned int
-service_coming(
+service_expected(
     const struct capacity_service *s, msec now, enum capacity_kind kind)
 {
 	unsigned int i, n = 0;
 
-	for (i = 0; i < s->terms.ndomains; i++)
-		n += place_coming(s, &s->domains[i].kinds[kind], now);
+	for (i = 0; i < s->config.ndomains; i++)
+		n += pool_expected(s, &s->domains[i].kinds[kind], now);
 	return n;
 }
 
 /* Factor on the servers needed that makes up for the loss of one domain. */
 static double
-service_spread(const struct capacity_service *s)
+service_domain_loss_factor(const struct capacity_service *s)
 {
-	return s->terms.ndomains > 1
-		   ? (double)s->terms.ndomains / (s->terms.ndomains - 1)
+	return s->config.ndomains > 1
+		   ? (double)s->config.ndomains / (s->config.ndomains - 1)
 		   : 1.0;
 }
 
 /* Servers needed to process prompts at this rate in this part of their time. */
 static double
-servers_for(double tokens_per_ms, double percent)
+servers_for_rate(double tokens_per_ms, double percent)
 {
 	return tokens_per_ms / (CAPACITY_TOKENS_PER_MS * percent / 100);
 }
 
 static unsigned int
-service_lasting_least(
-    const struct capacity *c, const struct capacity_service *s)
+service_lasting_min(const struct capacity *c, const struct capacity_service *s)
 {
-	double urgent =
-	    servers_for(peak_of(s->urgent_peaks), CAPACITY_READING_PERCENT);
+	double urgent = servers_for_rate(
+	    peak_value(s->urgent_peaks), CAPACITY_PREFILL_PERCENT);
 	double part = s->needed * c->limits.lasting_percent / 100.0;
 
-	if (s->terms.reclaimable_price <= 0)
+	if (s->config.reclaimable_price <= 0)
 		return s->needed;
 	return MAX((unsigned int)ceil(MAX(urgent, part)),
-	    s->terms.least * s->terms.ndomains);
+	    s->config.minimum * s->config.ndomains);
 }
 
 static unsigned int
 service_needed(const struct capacity *c, const struct capacity_service *s)
 {
 	double reading =
-	    servers_for(s->tokens_per_ms, CAPACITY_READING_PERCENT);
-	double streams = s->running / CAPACITY_STREAMS;
+	    servers_for_rate(s->tokens_per_ms, CAPACITY_PREFILL_PERCENT);
+	double streams = s->running / CAPACITY_STREAMS_PER_SERVER;
 	double n =
 	    MAX(reading, streams) * (100 + c->limits.spare_percent) / 100;
 
-	return MAX((unsigned int)ceil(n), s->terms.least * s->terms.ndomains);
+	return MAX(
+	    (unsigned int)ceil(n), s->config.minimum * s->config.ndomains);
 }
 
 /* Minimum servers for the load, of the expensive kind if necessary. */
 static unsigned int
-service_essential(const struct capacity_service *s)
+service_min_for_load(const struct capacity_service *s)
 {
 	unsigned int n = (unsigned int)ceil(
-	    servers_for(s->tokens_per_ms, CAPACITY_ESSENTIAL_PERCENT));
+	    servers_for_rate(s->tokens_per_ms, CAPACITY_PREFILL_MAX_PERCENT));
 
 	return MIN(n, s->needed);
 }
@@ -373,20 +374,21 @@
  * servers of a fleet that has just started become known one by one.
  */
 static void
-service_find(struct capacity_service *s, msec now)
+service_determine_found(struct capacity_service *s, msec now)
 {
 	unsigned int lasting = service_ready(s, CAPACITY_LASTING);
 
-	if (s->found == 0)
+	if (s->found_total == 0)
 		s->found_reclaimable =
 		    (unsigned int)(service_ready(s, CAPACITY_RECLAIMABLE) /
-				   service_spread(s));
+				   service_domain_loss_factor(s));
 	if (lasting > s->found_lasting) {
 		s->found_lasting = lasting;
 		s->found_at = now;
 	}
-	s->found =
-	    s->held != 0 ? s->held : s->found_reclaimable + s->found_lasting;
+	s->found_total = s->previous_needed != 0
+			     ? s->previous_needed
+			     : s->found_reclaimable + s->found_lasting;
 }
 
 /* The servers found have carried the load: keeps them until peaks are known. */
@@ -395,21 +397,22 @@
     const struct capacity *c, struct capacity_service *s, msec now)
 {
 	unsigned int needed = service_needed(c, s);
-	bool known = s->asked != 0 &&
-		     now - s->asked >= CAPACITY_PEAK_S * MSEC_SECOND &&
-		     now - s->reported < CAPACITY_FRESH_MS;
+	bool known =
+	    s->first_request_at != 0 &&
+	    now - s->first_request_at >= CAPACITY_PEAK_S * MSEC_SECOND &&
+	    now - s->reported_at < CAPACITY_REPORT_TTL_MS;
 
 	if (!known)
-		needed = MAX(MAX(needed, s->found), s->needed);
+		needed = MAX(MAX(needed, s->found_total), s->needed);
 	/* Scale up at once, down in small steps. */
 	if (needed >= s->needed) {
 		s->needed = needed;
-		s->next_down = now + CAPACITY_STEP_MS;
+		s->next_down = now + CAPACITY_STEP_DOWN_MS;
 	} else if (now >= s->next_down) {
 		s->needed = MAX(needed,
 		    s->needed -
-			MAX(s->needed * CAPACITY_STEP_PERCENT / 100, 1));
-		s->next_down = now + CAPACITY_STEP_MS;
+			MAX(s->needed * CAPACITY_STEP_DOWN_PERCENT / 100, 1));
+		s->next_down = now + CAPACITY_STEP_DOWN_MS;
 	}
 }
 
@@ -419,42 +422,43 @@
  * gets no new ones.
  */
 static void
-service_share_reclaimable(
+service_distribute_reclaimable(
     struct capacity_service *s, msec now, unsigned int total)
 {
 	unsigned int room[CAPACITY_DOMAINS_MAX], i, n, each, left = total;
 	enum capacity_kind kind = CAPACITY_RECLAIMABLE;
-	struct capacity_place *p, *other;
+	struct capacity_pool *p, *other;
 	bool full = false;
 
-	for (i = 0; i < s->terms.ndomains; i++) {
+	for (i = 0; i < s->config.ndomains; i++) {
 		p = &s->domains[i].kinds[kind];
 		other = &s->domains[i].kinds[CAPACITY_LASTING];
-		p->want = 0;
-		room[i] = s->terms.most -
-			  MIN(s->terms.most, MAX(other->want, other->ready));
+		p->target = 0;
+		room[i] =
+		    s->config.maximum -
+		    MIN(s->config.maximum, MAX(other->target, other->ready));
 		if (now < p->refused_until)
 			room[i] = MIN(room[i], p->ready);
 	}
 	while (left > 0 && !full) {
-		for (i = n = 0; i < s->terms.ndomains; i++)
-			n += room[i] > s->domains[i].kinds[kind].want;
+		for (i = n = 0; i < s->config.ndomains; i++)
+			n += room[i] > s->domains[i].kinds[kind].target;
 		full = n == 0;
 		each = n > 0 ? MAX(left / n, 1) : 0;
-		for (i = 0; i < s->terms.ndomains && left > 0; i++) {
+		for (i = 0; i < s->config.ndomains && left > 0; i++) {
 			p = &s->domains[i].kinds[kind];
 			n = MIN(
-			    MIN(each, left), room[i] - MIN(room[i], p->want));
-			p->want += n;
+			    MIN(each, left), room[i] - MIN(room[i], p->target));
+			p->target += n;
 			left -= n;
 		}
 	}
-	for (i = 0; i < s->terms.ndomains; i++) {
+	for (i = 0; i < s->config.ndomains; i++) {
 		p = &s->domains[i].kinds[kind];
 		/* While there are too few, none are removed. */
 		if (service_ready(s, kind) < total)
-			p->want =
-			    MAX(p->want, MIN(place_coming(s, p, now), room[i]));
+			p->target = MAX(
+			    p->target, MIN(pool_expected(s, p, now), room[i]));
 	}
 }
 
@@ -462,22 +466,23 @@
  * The domain in which to add or remove a server: the one with the fewest or
  * most; of equals, the cheapest or most expensive.
  */
-static struct capacity_place *
-lasting_pick(struct capacity_service *s, bool more)
+static struct capacity_pool *
+lasting_choose_domain(struct capacity_service *s, bool more)
 {
-	struct capacity_place *p, *best = NULL;
+	struct capacity_pool *p, *best = NULL;
 	double price = 0, other;
 	unsigned int i;
 
-	for (i = 0; i < s->terms.ndomains; i++) {
+	for (i = 0; i < s->config.ndomains; i++) {
 		p = &s->domains[i].kinds[CAPACITY_LASTING];
-		other = s->terms.domains[i].price;
-		if (more ? p->want >= s->terms.most : p->want <= s->terms.least)
+		other = s->config.domains[i].price;
+		if (more ? p->target >= s->config.maximum
+			 : p->target <= s->config.minimum)
 			continue;
-		if (best != NULL && p->want != best->want &&
-		    (p->want < best->want) != more)
+		if (best != NULL && p->target != best->target &&
+		    (p->target < best->target) != more)
 			continue;
-		if (best != NULL && p->want == best->want &&
+		if (best != NULL && p->target == best->target &&
 		    (other < price) != more)
 			continue;
 		best = p;
@@ -488,18 +493,19 @@
 
 /* Distributes lasting servers, starting from those that are ready. */
 static void
-service_share_lasting(struct capacity_service *s, unsigned int total)
+service_distribute_lasting(struct capacity_service *s, unsigned int total)
 {
-	struct capacity_place *p;
+	struct capacity_pool *p;
 	unsigned int i, n = 0;
 
-	for (i = 0; i < s->terms.ndomains; i++) {
+	for (i = 0; i < s->config.ndomains; i++) {
 		p = &s->domains[i].kinds[CAPACITY_LASTING];
-		p->want = p->ready;
-		n += p->want;
+		p->target = p->ready;
+		n += p->target;
 	}
-	while (n != total && (p = lasting_pick(s, n < total)) != NULL) {
-		p->want += n < total ? 1 : -1U;
+	while (
+	    n != total && (p = lasting_choose_domain(s, n < total)) != NULL) {
+		p->target += n < total ? 1 : -1U;
 		n += n < total ? 1 : -1U;
 	}
 }
@@ -510,15 +516,15 @@
  * if the load could not be served otherwise.
  */
 static unsigned int
-service_lasting(struct capacity *c, struct capacity_service *s, msec now)
+service_lasting_target(struct capacity *c, struct capacity_service *s, msec now)
 {
-	unsigned int least = service_lasting_least(c, s);
-	unsigned int essential = service_essential(s);
+	unsigned int minimum = service_lasting_min(c, s);
+	unsigned int essential = service_min_for_load(s);
 	unsigned int others = service_ready(s, CAPACITY_RECLAIMABLE);
-	unsigned int coming = service_coming(s, now, CAPACITY_RECLAIMABLE);
+	unsigned int coming = service_expected(s, now, CAPACITY_RECLAIMABLE);
 	unsigned int have = service_ready(s, CAPACITY_LASTING), n, step;
 
-	n = MAX(least, essential - MIN(essential, coming));
+	n = MAX(minimum, essential - MIN(essential, coming));
 	n = MAX(n, MIN(have, s->needed - MIN(s->needed, others)));
 	if (n >= have)
 		return n;
@@ -526,36 +532,36 @@
 		return have;
 	if (s->running <= 0)
 		return n;
-	step = MAX(have * CAPACITY_MOVE_PERCENT / 100, 1);
-	if (now < s->next_move)
+	step = MAX(have * CAPACITY_REPLACE_PERCENT / 100, 1);
+	if (now < s->next_replace)
 		return MAX(n, MIN(have, s->lasting));
-	s->next_move = now + CAPACITY_MOVE_MS;
+	s->next_replace = now + CAPACITY_REPLACE_MS;
 	return MAX(n, have - step);
 }
 
 static void
-service_order(struct capacity *c, struct capacity_service *s, msec now,
+service_order_pool(struct capacity *c, struct capacity_service *s, msec now,
     unsigned int domain, enum capacity_kind kind)
 {
-	struct capacity_place *p = &s->domains[domain].kinds[kind];
-	msec late = s->terms.boot + CAPACITY_LATE_MS;
-	bool repeat = p->is_ordered && p->want == p->ordered;
+	struct capacity_pool *p = &s->domains[domain].kinds[kind];
+	msec late = s->config.boot + CAPACITY_ORDER_TIMEOUT_MS;
+	bool repeat = p->is_ordered && p->target == p->ordered;
 	unsigned int base = p->is_ordered ? p->ordered : p->ready;
-	unsigned int change = MAX(base, p->want) - MIN(base, p->want);
+	unsigned int change = MAX(base, p->target) - MIN(base, p->target);
 	unsigned int count;
 
-	if (p->pending || now - p->ordered_at < CAPACITY_ORDER_MS ||
+	if (p->pending || now - p->ordered_at < CAPACITY_ORDER_INTERVAL_MS ||
 	    now < p->refused_until)
 		return;
-	if (p->want == p->ready && (!p->is_ordered || repeat))
+	if (p->target == p->ready && (!p->is_ordered || repeat))
 		return;
 	if (repeat && now - p->ordered_at < late)
 		return;
-	change = MIN(change, (unsigned int)c->changes);
-	count = p->want > base ? base + change : base - change;
-	if (count != p->want && change == 0)
+	change = MIN(change, (unsigned int)c->change_allowance);
+	count = p->target > base ? base + change : base - change;
+	if (count != p->target && change == 0)
 		return;
-	c->changes -= change;
+	c->change_allowance -= change;
 	p->pending = true;
 	p->ordered_at = now;
 	c->counters.orders++;
@@ -569,24 +575,24 @@
     enum capacity_result how)
 {
 	struct capacity_service *s = capacity_find(c, service);
-	struct capacity_place *p;
+	struct capacity_pool *p;
 
-	if (s == NULL || domain >= s->terms.ndomains)
+	if (s == NULL || domain >= s->config.ndomains)
 		return;
 	p = &s->domains[domain].kinds[kind];
 	p->pending = false;
 	switch (how) {
-	case CAPACITY_TAKEN:
+	case CAPACITY_ACCEPTED:
 		p->is_ordered = true;
 		p->ordered = count;
 		c->counters.taken++;
 		break;
-	case CAPACITY_NONE:
+	case CAPACITY_UNAVAILABLE:
 		p->is_ordered = false;
-		p->refused_until = now + CAPACITY_REFUSED_MS;
+		p->refused_until = now + CAPACITY_UNAVAILABLE_MS;
 		c->counters.refused++;
 		break;
-	case CAPACITY_UNKNOWN:
+	case CAPACITY_NO_ANSWER:
 		/* It may still be carried out: the target is ordered again. */
 		p->is_ordered = false;
 		c->counters.unanswered++;
@@ -597,26 +603,26 @@
 static void
 service_tick(struct capacity *c, struct capacity_service *s, msec now)
 {
-	unsigned int i, reclaimable, most;
+	unsigned int i, reclaimable, maximum;
 
-	service_watch(s, now);
-	service_find(s, now);
-	if (s->found == 0)
+	service_record_demand(s, now);
+	service_determine_found(s, now);
+	if (s->found_total == 0)
 		return;
 	service_decide_needed(c, s, now);
-	s->lasting = service_lasting(c, s, now);
+	s->lasting = service_lasting_target(c, s, now);
 	reclaimable = (unsigned int)ceil(
-	    (s->needed - MIN(s->needed, service_lasting_least(c, s))) *
-	    service_spread(s));
-	most =
+	    (s->needed - MIN(s->needed, service_lasting_min(c, s))) *
+	    service_domain_loss_factor(s));
+	maximum =
 	    (unsigned int)(reclaimable * c->limits.reclaimable_percent / 100);
-	if (s->terms.reclaimable_price <= 0)
-		most = 0;
-	service_share_lasting(s, s->lasting);
-	service_share_reclaimable(s, now, MIN(reclaimable, most));
-	for (i = 0; i < s->terms.ndomains; i++) {
-		service_order(c, s, now, i, CAPACITY_LASTING);
-		service_order(c, s, now, i, CAPACITY_RECLAIMABLE);
+	if (s->config.reclaimable_price <= 0)
+		maximum = 0;
+	service_distribute_lasting(s, s->lasting);
+	service_distribute_reclaimable(s, now, MIN(reclaimable, maximum));
+	for (i = 0; i < s->config.ndomains; i++) {
+		service_order_pool(c, s, now, i, CAPACITY_LASTING);
+		service_order_pool(c, s, now, i, CAPACITY_RECLAIMABLE);
 	}
 }
 
@@ -630,12 +636,13 @@
 	 * A holder that has just started reads the servers one by one. An order
 	 * based on an incomplete count could remove hundreds of servers.
 	 */
-	if (!c->holds || !c->knows_all)
+	if (!c->is_holder || !c->ready_complete)
 		return;
-	rate = MIN(
-	    CAPACITY_HEARD_PER_S / MAX(c->nodes, 1), CAPACITY_CHANGES_PER_S);
-	c->changes += (double)(now - c->ticked) * rate / MSEC_SECOND;
-	c->changes = MIN(c->changes, MAX(rate * CAPACITY_CHANGES_AT_ONCE, 1));
+	rate = MIN(CAPACITY_NOTIFICATIONS_PER_S / MAX(c->nodes, 1),
+	    CAPACITY_CHANGES_PER_S);
+	c->change_allowance += (double)(now - c->ticked) * rate / MSEC_SECOND;
+	c->change_allowance =
+	    MIN(c->change_allowance, MAX(rate * CAPACITY_CHANGES_BURST, 1));
 	c->ticked = now;
 	for (i = 0; i < c->nservices; i++)
 		service_tick(c, &c->services[i], now);
--- a/capacity.h
+++ b/capacity.h
@@ -37,20 +37,20 @@
 };
 
 /* Configuration of a service in a failure domain. */
-struct capacity_domain_terms {
+struct capacity_domain_config {
 	char name[NAME_SIZE];
 	double price; /* of a lasting server, per second */
 };
 
 /* Configuration of a service that is scaled. */
-struct capacity_terms {
+struct capacity_config {
 	char name[NAME_SIZE];
-	unsigned int least, most; /* servers of both kinds, per domain */
-	msec boot;		  /* from the order until it is ready */
-	double reclaimable_price; /* relative to a lasting one's; 0: not
-				     available */
+	unsigned int minimum, maximum; /* servers of both kinds, per domain */
+	msec boot;		       /* from the order until it is ready */
+	double reclaimable_price;      /* relative to a lasting one's; 0: not
+					  available */
 	unsigned int ndomains;
-	struct capacity_domain_terms domains[CAPACITY_DOMAINS_MAX];
+	struct capacity_domain_config domains[CAPACITY_DOMAINS_MAX];
 };
 
 /* Limits from the settings. */
@@ -62,18 +62,19 @@
 };
 
 /* A service's servers of one kind in one domain. */
-struct capacity_place {
+struct capacity_pool {
 	unsigned int ready;
-	unsigned int want, ordered; /* target now; in the last accepted order */
-	bool is_ordered;	    /* the last order was accepted */
-	bool pending;		    /* an order awaits its answer */
+	unsigned int target,
+	    ordered;	 /* target now; in the last accepted order */
+	bool is_ordered; /* the last order was accepted */
+	bool pending;	 /* an order awaits its answer */
 	msec ordered_at;
 	msec refused_until; /* no orders before: none were available */
 };
 
 /* A service in one failure domain. */
 struct capacity_domain {
-	struct capacity_place kinds[CAPACITY_KINDS];
+	struct capacity_pool kinds[CAPACITY_KINDS];
 };
 
 /* Last demand report of one coordinator. */
@@ -82,23 +83,23 @@
 /* A service that is scaled. */
 struct capacity_service {
 	name_id id;
-	struct capacity_terms terms;
+	struct capacity_config config;
 	struct capacity_domain domains[CAPACITY_DOMAINS_MAX];
 	GHashTable *reports; /* node to struct capacity_report */
 	/* Per second: tokens per ms, and running requests; newest: `second`. */
 	double peaks[CAPACITY_PEAK_S], urgent_peaks[CAPACITY_PEAK_S];
 	double busy_peaks[CAPACITY_PEAK_S];
 	msec second;
-	msec asked;    /* first report with requests; 0: none yet */
-	msec reported; /* time of the newest report */
+	msec first_request_at; /* first report with requests; 0: none yet */
+	msec reported_at;      /* time of the newest report */
 	/* Inputs and results of the last decision. */
 	double tokens_per_ms, urgent_part, running;
-	unsigned int needed, lasting, held;
+	unsigned int needed, lasting, previous_needed;
 	/* Servers present when this node became duty holder, in all and by
 	 * kind. */
-	unsigned int found, found_lasting, found_reclaimable;
+	unsigned int found_total, found_lasting, found_reclaimable;
 	msec found_at;
-	msec next_down, next_move;
+	msec next_down, next_replace;
 };
 
 struct capacity;
@@ -125,11 +126,11 @@
 	struct capacity_limits limits;
 	unsigned int nservices;
 	struct capacity_service *services;
-	bool holds;	    /* this node is the duty holder */
-	bool knows_all;	    /* the ready servers are complete */
-	msec since;	    /* when `holds` was last set */
-	unsigned int nodes; /* nodes notified of each server change */
-	double changes;	    /* server changes allowed now */
+	bool is_holder;		 /* this node is the duty holder */
+	bool ready_complete;	 /* the ready servers are complete */
+	msec since;		 /* when `holds` was last set */
+	unsigned int nodes;	 /* nodes notified of each server change */
+	double change_allowance; /* server changes allowed now */
 	msec ticked;
 	struct capacity_counters counters;
 	void *arg; /* for the callbacks */
@@ -142,10 +143,10 @@
 void capacity_init(struct capacity *, const struct capacity_ops *);
 void capacity_finish(struct capacity *);
 /* Replaces the configuration of all services that are scaled. */
-void capacity_set_terms(
-    struct capacity *, const struct capacity_terms *, unsigned int);
+void capacity_set_config(
+    struct capacity *, const struct capacity_config *, unsigned int);
 /* Sets whether this node is the duty holder; resets the state. */
-void capacity_hold(struct capacity *, msec, bool);
+void capacity_set_holder(struct capacity *, msec, bool);
 /*
  * Replace the counts of ready servers: clear, then add each ready server.
  * `all`: every server is known; without it nothing is ordered.
@@ -157,9 +158,9 @@
 void capacity_receive(struct capacity *, msec, name_id from, const sp_msg *);
 /* Answers to an order: accepted, none available, or no answer. */
 enum capacity_result {
-	CAPACITY_TAKEN,
-	CAPACITY_NONE,
-	CAPACITY_UNKNOWN
+	CAPACITY_ACCEPTED,
+	CAPACITY_UNAVAILABLE,
+	CAPACITY_NO_ANSWER
 };
 /* Reports the answer to an order of `count` servers in total. */
 void
--- a/daemon-metrics.c
+++ b/daemon-metrics.c
@@ -44,7 +44,7 @@
 static void
 metrics_text_requests(GString *s, const struct daemon *d)
 {
-	const struct request_book *b = &d->book;
+	const struct request_shared *b = &d->book;
 
 	metrics_text_count(s, METRIC_OPEN_REQUESTS, d->ncalls);
 	metrics_text_count(s, METRIC_ANSWER_BYTES, metrics_answer_bytes(d));
--- a/daemon.h
+++ b/daemon.h
@@ -364,7 +364,7 @@
 	bool vm_list_read;
 	msec import_due;
 	bool import_busy;
-	struct request_book book;
+	struct request_shared book;
 	struct call_list calls;
 	unsigned int ncalls; /* open requests, for backend servers */
 	uint32_t next_call;
--- a/dispatch-choose.c
+++ b/dispatch-choose.c
@@ -7,23 +7,23 @@
 #include "dispatch-private.h"
 
 /* Part of the first-token target that the engine itself may use. */
-#define SUITED_PART 0.6
+#define FIRST_TOKEN_FRACTION 0.6
 /* Weight factors of engines that miss the targets, or failed recently. */
-#define UNSUITED 0.02
-#define FAILED 0.001
+#define WEIGHT_UNSUITED 0.02
+#define WEIGHT_FAILED 0.001
 /* Slots assumed for an engine that has not reported any. */
-#define SLOTS_GUESS 4
+#define SLOTS_ASSUMED 4
 /* How long an engine is avoided after a failure, in ms: first and maximum. */
-#define FAILED_FIRST 300
-#define FAILED_MOST (10 * MSEC_SECOND)
+#define FAILURE_PAUSE_MIN 300
+#define FAILURE_PAUSE_MAX (10 * MSEC_SECOND)
 
 static bool
 request_has_tried(const struct dispatch_request_state *, const struct engine *);
-static bool
-candidate_suits(const struct dispatch_request_state *, const struct engine *);
-static bool
-candidate_usable(const struct dispatch_request_state *, const struct engine *);
-static double candidate_weight(
+static bool engine_meets_targets(
+    const struct dispatch_request_state *, const struct engine *);
+static bool engine_is_candidate(
+    const struct dispatch_request_state *, const struct engine *);
+static double engine_weight(
     msec, const struct dispatch_request_state *, const struct engine *);
 
 static bool
@@ -36,8 +36,8 @@
 		if (st->tried[i] == e->id)
 			return true;
 	}
-	for (i = 0; i < st->nlegs; i++) {
-		if (st->legs[i].engine == e)
+	for (i = 0; i < st->ncandidates; i++) {
+		if (st->candidates[i].engine == e)
 			return true;
 	}
 	return false;
@@ -48,14 +48,16 @@
  * on a slow engine misses the first-token target even without waiting.
  */
 static bool
-candidate_suits(const struct dispatch_request_state *st, const struct engine *e)
+engine_meets_targets(
+    const struct dispatch_request_state *st, const struct engine *e)
 {
 	const struct class *c = st->class;
 	double first, whole;
 
-	first = e->first_work * (st->request->prompt_tokens + PROMPT_BASE);
+	first = e->prompt_token_ms *
+		(st->request->prompt_tokens + PROMPT_BASE_TOKENS);
 	whole = first + e->token_ms * lengths_quantile(&c->lengths, 800);
-	if (c->first_token > 0 && first > c->first_token * SUITED_PART)
+	if (c->first_token > 0 && first > c->first_token * FIRST_TOKEN_FRACTION)
 		return false;
 	if (c->between_tokens > 0 && e->token_ms > c->between_tokens)
 		return false;
@@ -64,7 +66,7 @@
 
 /* The engine to avoid is used if the service has no other. */
 static bool
-candidate_usable(
+engine_is_candidate(
     const struct dispatch_request_state *st, const struct engine *e)
 {
 	if (e->leaving || e->owner == 0 || request_has_tried(st, e))
@@ -74,10 +76,10 @@
 
 /* Weight in the random choice: slots divided by the time per token. */
 static double
-candidate_weight(
+engine_weight(
     msec now, const struct dispatch_request_state *st, const struct engine *e)
 {
-	double w = e->slots > 0 ? e->slots : SLOTS_GUESS;
+	double w = e->slots > 0 ? e->slots : SLOTS_ASSUMED;
 
 	if (e->slots == 0 && e->slots_hint > 0)
 		w = e->slots_hint;
@@ -85,10 +87,10 @@
 		w /= e->token_ms;
 	else if (st->service->token_ms > 0)
 		w /= st->service->token_ms;
-	if (!candidate_suits(st, e))
-		w *= UNSUITED;
+	if (!engine_meets_targets(st, e))
+		w *= WEIGHT_UNSUITED;
 	if (now < e->failed_until)
-		w *= FAILED;
+		w *= WEIGHT_FAILED;
 	return w;
 }
 
@@ -99,9 +101,9 @@
 	double w, sum = 0;
 
 	TAILQ_FOREACH (e, &st->service->engines, entry) {
-		if (!candidate_usable(st, e))
+		if (!engine_is_candidate(st, e))
 			continue;
-		w = candidate_weight(now, st, e);
+		w = engine_weight(now, st, e);
 		sum += w;
 		/* Weighted reservoir sampling: keeps e with probability w /
 		 * sum. */
@@ -112,24 +114,25 @@
 }
 
 void
-choose_not_again(struct dispatch_request_state *st, name_id id)
+choose_exclude(struct dispatch_request_state *st, name_id id)
 {
 	if (st->ntried < TRIED_MAX)
 		st->tried[st->ntried++] = id;
 }
 
 void
-choose_learn(msec now, struct dispatch_request_state *st,
+choose_record_result(msec now, struct dispatch_request_state *st,
     const struct dispatch_result *res)
 {
 	struct engine *e = st->engine;
 	struct service *s = st->service;
-	unsigned int prompt = st->request->prompt_tokens + PROMPT_BASE;
+	unsigned int prompt = st->request->prompt_tokens + PROMPT_BASE_TOKENS;
 	double token_ms, first = MAX(1, res->first_token);
 
 	if (res->how == DISPATCH_ENGINE_FAILED) {
 		e->failed_until =
-		    now + MIN(FAILED_FIRST << MIN(e->failures, 6), FAILED_MOST);
+		    now + MIN(FAILURE_PAUSE_MIN << MIN(e->failures, 6),
+			      FAILURE_PAUSE_MAX);
 		e->failures++;
 		return;
 	}
@@ -138,7 +141,7 @@
 	e->failures = 0;
 	lengths_add(&st->class->lengths, res->tokens);
 	average_add(&s->first_token, first);
-	average_add(&e->first_work, first / prompt);
+	average_add(&e->prompt_token_ms, first / prompt);
 	if (res->tokens < 2)
 		return;
 	token_ms = (double)res->stream / (res->tokens - 1);
--- a/dispatch-dump.c
+++ b/dispatch-dump.c
@@ -16,18 +16,19 @@
 	unsigned int i;
 
 	for (i = 0; i < DOCUMENT_CLASSES_MAX; i++) {
-		cq = &e->own->queue.classes[i];
+		cq = &e->owner_state->queue.classes[i];
 		if (cq->count == 0)
 			continue;
 		g_string_append_printf(s, " %s %u owed %.0f",
-		    service_class(e->service, i)->name, cq->count, cq->credit);
+		    service_class(e->service, i)->name, cq->count,
+		    cq->floor_credit);
 	}
 }
 
 static void
 dump_engine(GString *s, msec now, const struct engine *e)
 {
-	const struct owned *o = e->own;
+	const struct owner_state *o = e->owner_state;
 
 	g_string_append_printf(s,
 	    "engine %016" PRIx64 " owner %016" PRIx64
--- a/dispatch-entry.c
+++ b/dispatch-entry.c
@@ -10,100 +10,104 @@
 /* Time for the first owner to grant before more are tried, in ms. */
 #define WIDEN_FIRST 10
 /* Reservations to keep open after that. */
-#define LEGS_USUAL 2
-#define LEGS_PROTECTED 4
-/* Maximum for other classes; LEGS_MAX for protected ones. */
-#define LEGS_USUAL_MOST 4
+#define CANDIDATES_NORMAL 2
+#define CANDIDATES_PROTECTED 4
+/* Maximum for other classes; CANDIDATES_MAX for protected ones. */
+#define CANDIDATES_NORMAL_MAX 4
 /* Time without a grant before one or two owners are added; doubles. */
-#define WIDEN_USUAL (1 * MSEC_SECOND)
+#define WIDEN_NORMAL (1 * MSEC_SECOND)
 #define WIDEN_PROTECTED 200
 /* Interval in ms before a reservation is sent again; doubles up to the maximum.
  */
-#define AGAIN_FIRST 300
-#define AGAIN_MOST 4800
+#define RESEND_MIN 300
+#define RESEND_MAX 4800
 /* The same after an SP_QUEUED reply, for requests that are never refused. */
-#define AGAIN_KEEP 1000
+#define RESEND_QUEUED 1000
 /* An owner that has not replied for this time is given up, in ms. */
-#define SILENT_AFTER 900
+#define OWNER_TIMEOUT 900
 /* Time before all owners are tried again once all have refused, in ms. */
-#define RETRY_ROUND 150
+#define RETRY_ROUND_DELAY 150
 /* Refusals by owners after which an unprotected request is refused. */
-#define REFUSALS_MOST 4
-/* The same if more than REFUSED_PART of its class are refused. */
-#define REFUSALS_FEW 2
-#define REFUSED_PART 0.25
+#define REFUSALS_MAX 4
+/* The same if more than REFUSED_FRACTION of its class are refused. */
+#define REFUSALS_MAX_OVERLOAD 2
+#define REFUSED_FRACTION 0.25
 /* Minimum part of a target allowed for waiting, and part kept in reserve. */
-#define SLACK_LEAST 0.1
-#define SLACK_SPARE 0.15
+#define SLACK_MIN 0.1
+#define SLACK_RESERVE 0.15
 /* Maximum retry delay reported to a refused caller. */
-#define RETRY_MOST (30 * MSEC_SECOND)
+#define RETRY_DELAY_MAX (30 * MSEC_SECOND)
 /* Maximum wait in ms once the target has passed: long enough to send a lost
  * reservation again. */
-#define LATE_WITHIN 500
+#define LATE_WAIT_MAX 500
 /* Time within which a broken stream should continue. */
-#define RESUME_WITHIN (2 * MSEC_SECOND)
+#define RESUME_WAIT_MAX (2 * MSEC_SECOND)
 
-static void request_due(struct dispatch *, msec, struct timer *);
-static void request_arm(struct dispatch *, struct dispatch_request_state *);
-static void request_free(struct dispatch *, struct dispatch_request_state *);
-static msec request_start_by(msec, const struct dispatch_request_state *);
-static void
-request_widen(struct dispatch *, msec, struct dispatch_request_state *);
-static bool request_give_up(struct dispatch *, struct dispatch_request_state *);
+static void request_timer_due(struct dispatch *, msec, struct timer *);
 static void
-request_round(struct dispatch *, msec, struct dispatch_request_state *);
+request_timer_arm(struct dispatch *, struct dispatch_request_state *);
+static void request_free(struct dispatch *, struct dispatch_request_state *);
+static msec request_latest_start(msec, const struct dispatch_request_state *);
+static void request_add_candidates(
+    struct dispatch *, msec, struct dispatch_request_state *);
+static bool
+request_try_refuse(struct dispatch *, struct dispatch_request_state *);
 static void
-request_fill(struct dispatch *, msec, struct dispatch_request_state *);
+request_retry_round(struct dispatch *, msec, struct dispatch_request_state *);
+static void request_reserve_candidates(
+    struct dispatch *, msec, struct dispatch_request_state *);
 static struct dispatch_request_state *
 request_find(struct dispatch *, unsigned int);
-static unsigned int legs_most(const struct dispatch_request_state *);
-static unsigned int refusals_most(const struct dispatch_request_state *);
-static struct leg *leg_find(struct dispatch_request_state *, name_id, name_id);
-static void leg_remove(struct dispatch_request_state *, struct leg *);
-static bool
-leg_is_silent(msec, const struct dispatch_request_state *, const struct leg *);
-static void leg_send(
-    struct dispatch *, msec, struct dispatch_request_state *, struct leg *);
+static unsigned int candidates_max(const struct dispatch_request_state *);
+static unsigned int refusals_max(const struct dispatch_request_state *);
+static struct candidate *
+candidate_find(struct dispatch_request_state *, name_id, name_id);
+static void
+candidate_remove(struct dispatch_request_state *, struct candidate *);
+static bool candidate_is_unresponsive(
+    msec, const struct dispatch_request_state *, const struct candidate *);
+static void candidate_reserve(struct dispatch *, msec,
+    struct dispatch_request_state *, struct candidate *);
 static void
-legs_again(struct dispatch *, msec, struct dispatch_request_state *);
-static void legs_cancel(
+candidates_resend(struct dispatch *, msec, struct dispatch_request_state *);
+static void candidates_cancel(
     struct dispatch *, struct dispatch_request_state *, const struct engine *);
 static void send_cancel(struct dispatch *, name_id, name_id, unsigned int);
-static unsigned int request_class_first(
+static unsigned int request_pack_class_first(
     const struct dispatch *, const struct dispatch_request_state *);
 static void
 entry_send_running(struct dispatch *, msec, struct engine *, const sp_msg *);
 
 /* ---- reservations ---- */
 
-static struct leg *
-leg_find(struct dispatch_request_state *st, name_id engine, name_id owner)
+static struct candidate *
+candidate_find(struct dispatch_request_state *st, name_id engine, name_id owner)
 {
 	unsigned int i;
 
-	for (i = 0; i < st->nlegs; i++) {
-		if (st->legs[i].engine->id == engine &&
-		    st->legs[i].owner == owner)
-			return &st->legs[i];
+	for (i = 0; i < st->ncandidates; i++) {
+		if (st->candidates[i].engine->id == engine &&
+		    st->candidates[i].owner == owner)
+			return &st->candidates[i];
 	}
 	return NULL;
 }
 
 static void
-leg_remove(struct dispatch_request_state *st, struct leg *leg)
+candidate_remove(struct dispatch_request_state *st, struct candidate *candidate)
 {
-	*leg = st->legs[--st->nlegs];
+	*candidate = st->candidates[--st->ncandidates];
 }
 
 static void
-leg_send(struct dispatch *d, msec now, struct dispatch_request_state *st,
-    struct leg *leg)
+candidate_reserve(struct dispatch *d, msec now,
+    struct dispatch_request_state *st, struct candidate *candidate)
 {
 	const struct dispatch_request *r = st->request;
 	sp_msg m = { .kind = SP_RESERVE };
 	sp_reserve *v = &m.sp_msg_u.reserve;
 
-	v->engine = leg->engine->id;
+	v->engine = candidate->engine->id;
 	v->id = r->id;
 	v->class_index = r->class_index;
 	v->tier = st->class->tier;
@@ -118,14 +122,15 @@
 	if (r->max_tokens > 0)
 		v->expect_tokens = MIN(v->expect_tokens, r->max_tokens);
 	v->waited_ms = (unsigned int)MAX(0, now - r->arrived);
-	if (st->start_by != MSEC_NEVER)
+	if (st->latest_start != MSEC_NEVER)
 		v->start_ms =
-		    (unsigned int)CLAMP(st->start_by - now, 1, INT32_MAX);
-	if (leg->tries == 0)
-		leg->sent = now;
-	leg->again = now + MIN(AGAIN_FIRST << MIN(leg->tries, 4), AGAIN_MOST);
-	leg->tries++;
-	dispatch_post(d, leg->owner, &m);
+		    (unsigned int)CLAMP(st->latest_start - now, 1, INT32_MAX);
+	if (candidate->send_count == 0)
+		candidate->sent = now;
+	candidate->next_send =
+	    now + MIN(RESEND_MIN << MIN(candidate->send_count, 4), RESEND_MAX);
+	candidate->send_count++;
+	dispatch_post(d, candidate->owner, &m);
 }
 
 static void
@@ -139,51 +144,53 @@
 }
 
 static void
-legs_cancel(struct dispatch *d, struct dispatch_request_state *st,
-    const struct engine *keep)
+candidates_cancel(struct dispatch *d, struct dispatch_request_state *st,
+    const struct engine *exempt)
 {
 	unsigned int i;
 
-	for (i = 0; i < st->nlegs; i++) {
-		if (st->legs[i].engine != keep)
-			send_cancel(d, st->legs[i].owner,
-			    st->legs[i].engine->id, st->request->id);
+	for (i = 0; i < st->ncandidates; i++) {
+		if (st->candidates[i].engine != exempt)
+			send_cancel(d, st->candidates[i].owner,
+			    st->candidates[i].engine->id, st->request->id);
 	}
-	st->nlegs = 0;
+	st->ncandidates = 0;
 }
 
 /* ---- requests ---- */
 
 /* If many of a class are refused, further owners are unlikely to grant. */
 static unsigned int
-refusals_most(const struct dispatch_request_state *st)
+refusals_max(const struct dispatch_request_state *st)
 {
-	if (st->class->refused_part > REFUSED_PART)
-		return REFUSALS_FEW;
-	return REFUSALS_MOST;
+	if (st->class->refused_fraction > REFUSED_FRACTION)
+		return REFUSALS_MAX_OVERLOAD;
+	return REFUSALS_MAX;
 }
 
 static void
-request_fill(struct dispatch *d, msec now, struct dispatch_request_state *st)
+request_reserve_candidates(
+    struct dispatch *d, msec now, struct dispatch_request_state *st)
 {
-	unsigned int want = st->want;
+	unsigned int candidates_wanted = st->candidates_wanted;
 	struct engine *e;
-	struct leg *leg;
+	struct candidate *candidate;
 
 	/* After enough refusals, wait only for the owners that remain. */
-	if (!st->keep && st->refusals >= refusals_most(st))
-		want = st->nlegs;
-	while (st->nlegs < MIN(want, LEGS_MAX)) {
+	if (!st->exempt && st->refusals >= refusals_max(st))
+		candidates_wanted = st->ncandidates;
+	while (st->ncandidates < MIN(candidates_wanted, CANDIDATES_MAX)) {
 		e = choose_engine(d, now, st);
 		if (e == NULL)
 			break;
-		leg = &st->legs[st->nlegs++];
-		memset(leg, 0, sizeof *leg);
-		leg->engine = e;
-		leg->owner = e->owner;
-		leg_send(d, now, st, leg);
+		candidate = &st->candidates[st->ncandidates++];
+		memset(candidate, 0, sizeof *candidate);
+		candidate->engine = e;
+		candidate->owner = e->owner;
+		candidate_reserve(d, now, st, candidate);
 	}
-	st->retry_at = st->nlegs == 0 ? now + RETRY_ROUND : MSEC_NEVER;
+	st->retry_at =
+	    st->ncandidates == 0 ? now + RETRY_ROUND_DELAY : MSEC_NEVER;
 }
 
 /*
@@ -194,7 +201,7 @@
  * organisation's limit or ran on a server that failed.
  */
 static msec
-request_start_by(msec now, const struct dispatch_request_state *st)
+request_latest_start(msec now, const struct dispatch_request_state *st)
 {
 	const struct dispatch_request *r = st->request;
 	const struct service *s = st->service;
@@ -203,22 +210,21 @@
 	msec by = MSEC_NEVER, waited = now - r->arrived;
 
 	if (r->resumed)
-		return now + RESUME_WITHIN;
+		return now + RESUME_WAIT_MAX;
 	run = s->first_token + s->token_ms * lengths_quantile(&c->lengths, 500);
 	if (c->first_token > 0) {
-		slack = c->first_token * (1 - SLACK_SPARE) - s->first_token;
-		slack = MAX(slack, c->first_token * SLACK_LEAST);
+		slack = c->first_token * (1 - SLACK_RESERVE) - s->first_token;
+		slack = MAX(slack, c->first_token * SLACK_MIN);
 		by = MIN(by, r->arrived + (msec)slack);
 	}
 	if (c->whole_answer > 0) {
-		slack =
-		    MAX(c->whole_answer - run, c->whole_answer * SLACK_LEAST);
+		slack = MAX(c->whole_answer - run, c->whole_answer * SLACK_MIN);
 		by = MIN(by, r->arrived + (msec)slack);
 	}
-	by = MAX(by, now + MIN(waited, LATE_WITHIN));
+	by = MAX(by, now + MIN(waited, LATE_WAIT_MAX));
 	if (r->deadline != MSEC_NEVER) {
 		slack = r->deadline - now;
-		slack = MAX(slack - run, slack * SLACK_LEAST);
+		slack = MAX(slack - run, slack * SLACK_MIN);
 		by = MIN(by, now + (msec)MAX(slack, 1));
 	}
 	return by;
@@ -236,7 +242,7 @@
 	} else {
 		TAILQ_REMOVE(&st->engine->running, st, entry);
 		st->engine->nrunning--;
-		engine_forget(d, st->engine);
+		engine_free_unused(d, st->engine);
 	}
 	g_hash_table_remove(p->requests, GUINT_TO_POINTER(st->request->id));
 	st->request->priv = NULL;
@@ -244,33 +250,33 @@
 }
 
 void
-entry_refuse_now(struct dispatch *d, struct dispatch_request_state *st,
+entry_refuse(struct dispatch *d, struct dispatch_request_state *st,
     enum dispatch_refusal why, msec after)
 {
 	struct dispatch_request *r = st->request;
 
 	log_debug("request %u refused, reason %d, %u refusals by owners, start "
 		  "limit %" PRId64 " ms after arrival",
-	    r->id, why, st->refusals, st->start_by - r->arrived);
-	average_add(&st->class->refused_part, 1);
-	legs_cancel(d, st, NULL);
+	    r->id, why, st->refusals, st->latest_start - r->arrived);
+	average_add(&st->class->refused_fraction, 1);
+	candidates_cancel(d, st, NULL);
 	request_free(d, st);
 	d->counters.refused++;
 	/* Jitter, so that callers refused together do not retry together. */
-	after = MIN(after, RETRY_MOST);
+	after = MIN(after, RETRY_DELAY_MAX);
 	after *= g_rand_double_range(d->priv->rand, 0.75, 1.25);
 	d->ops->refused(d, r, why, after);
 }
 
 void
-entry_grant_now(struct dispatch *d, msec now, struct dispatch_request_state *st,
+entry_grant(struct dispatch *d, msec now, struct dispatch_request_state *st,
     struct engine *e)
 {
 	struct dispatch_data *p = d->priv;
 
-	legs_cancel(d, st, e);
+	candidates_cancel(d, st, e);
 	timer_clear(d, &st->timer);
-	average_add(&st->class->refused_part, 0);
+	average_add(&st->class->refused_fraction, 0);
 	TAILQ_REMOVE(&p->waiting, st, entry);
 	p->nwaiting--;
 	st->phase = REQUEST_GRANTED;
@@ -290,41 +296,41 @@
 entry_submit(struct dispatch *d, msec now, struct dispatch_request_state *st)
 {
 	if (st->service->nengines == 0) {
-		entry_refuse_now(d, st, DISPATCH_NO_ENGINE, MSEC_SECOND);
+		entry_refuse(d, st, DISPATCH_NO_ENGINE, MSEC_SECOND);
 		return;
 	}
-	st->want = 1;
-	st->keep = st->class->is_protected || st->request->resumed;
-	st->start_by = request_start_by(now, st);
+	st->candidates_wanted = 1;
+	st->exempt = st->class->is_protected || st->request->resumed;
+	st->latest_start = request_latest_start(now, st);
 	st->widen_at = now + WIDEN_FIRST;
-	st->timer.fire = request_due;
-	request_fill(d, now, st);
-	request_arm(d, st);
+	st->timer.fire = request_timer_due;
+	request_reserve_candidates(d, now, st);
+	request_timer_arm(d, st);
 }
 
 static void
-request_arm(struct dispatch *d, struct dispatch_request_state *st)
+request_timer_arm(struct dispatch *d, struct dispatch_request_state *st)
 {
 	msec at = MIN(st->widen_at, st->retry_at);
 	unsigned int i;
 
-	if (!st->keep)
-		at = MIN(at, st->start_by);
-	for (i = 0; i < st->nlegs; i++)
-		at = MIN(at, st->legs[i].again);
+	if (!st->exempt)
+		at = MIN(at, st->latest_start);
+	for (i = 0; i < st->ncandidates; i++)
+		at = MIN(at, st->candidates[i].next_send);
 	timer_set(d, &st->timer, at);
 }
 
 /* After a reply the reservation is sent less often, so the limit is longer. */
 static bool
-leg_is_silent(
-    msec now, const struct dispatch_request_state *st, const struct leg *leg)
+candidate_is_unresponsive(msec now, const struct dispatch_request_state *st,
+    const struct candidate *candidate)
 {
-	msec after = SILENT_AFTER;
+	msec after = OWNER_TIMEOUT;
 
-	if (leg->heard != 0)
-		after += st->keep ? AGAIN_KEEP : AGAIN_MOST;
-	return now - MAX(leg->sent, leg->heard) >= after;
+	if (candidate->replied_at != 0)
+		after += st->exempt ? RESEND_QUEUED : RESEND_MAX;
+	return now - MAX(candidate->sent, candidate->replied_at) >= after;
 }
 
 /*
@@ -333,54 +339,57 @@
  * has run there, so reserving another engine is safe.
  */
 static void
-legs_again(struct dispatch *d, msec now, struct dispatch_request_state *st)
+candidates_resend(
+    struct dispatch *d, msec now, struct dispatch_request_state *st)
 {
-	struct leg *leg;
+	struct candidate *candidate;
 	unsigned int i = 0;
 
-	while (i < st->nlegs) {
-		leg = &st->legs[i];
-		if (leg->again > now) {
+	while (i < st->ncandidates) {
+		candidate = &st->candidates[i];
+		if (candidate->next_send > now) {
 			i++;
 			continue;
 		}
-		if (leg_is_silent(now, st, leg)) {
-			log_debug(
-			    "owner %" PRIx64 " does not reply", leg->owner);
-			send_cancel(
-			    d, leg->owner, leg->engine->id, st->request->id);
-			choose_not_again(st, leg->engine->id);
-			leg_remove(st, leg);
+		if (candidate_is_unresponsive(now, st, candidate)) {
+			log_debug("owner %" PRIx64 " does not reply",
+			    candidate->owner);
+			send_cancel(d, candidate->owner, candidate->engine->id,
+			    st->request->id);
+			choose_exclude(st, candidate->engine->id);
+			candidate_remove(st, candidate);
 			continue;
 		}
-		leg_send(d, now, st, leg);
+		candidate_reserve(d, now, st, candidate);
 		i++;
 	}
 }
 
 static unsigned int
-legs_most(const struct dispatch_request_state *st)
+candidates_max(const struct dispatch_request_state *st)
 {
-	if (st->keep)
-		return LEGS_MAX;
-	if (st->class->refused_part > REFUSED_PART)
-		return LEGS_USUAL;
-	return LEGS_USUAL_MOST;
+	if (st->exempt)
+		return CANDIDATES_MAX;
+	if (st->class->refused_fraction > REFUSED_FRACTION)
+		return CANDIDATES_NORMAL;
+	return CANDIDATES_NORMAL_MAX;
 }
 
 static void
-request_widen(struct dispatch *d, msec now, struct dispatch_request_state *st)
+request_add_candidates(
+    struct dispatch *d, msec now, struct dispatch_request_state *st)
 {
-	msec wait = st->keep ? WIDEN_PROTECTED : WIDEN_USUAL;
+	msec wait = st->exempt ? WIDEN_PROTECTED : WIDEN_NORMAL;
 
-	if (st->want >= legs_most(st)) {
+	if (st->candidates_wanted >= candidates_max(st)) {
 		st->widen_at = MSEC_NEVER;
 		return;
 	}
-	if (st->want == 1)
-		st->want = st->keep ? LEGS_PROTECTED : LEGS_USUAL;
+	if (st->candidates_wanted == 1)
+		st->candidates_wanted =
+		    st->exempt ? CANDIDATES_PROTECTED : CANDIDATES_NORMAL;
 	else
-		st->want += st->keep ? 2 : 1;
+		st->candidates_wanted += st->exempt ? 2 : 1;
 	st->widen_at = now + (wait << st->widened++);
 	d->counters.widened++;
 }
@@ -390,49 +399,50 @@
  * and resumed requests are not, they retry until they run or are cancelled.
  */
 static bool
-request_give_up(struct dispatch *d, struct dispatch_request_state *st)
+request_try_refuse(struct dispatch *d, struct dispatch_request_state *st)
 {
 	if (st->service->nengines == 0) {
-		entry_refuse_now(d, st, DISPATCH_NO_ENGINE, MSEC_SECOND);
+		entry_refuse(d, st, DISPATCH_NO_ENGINE, MSEC_SECOND);
 		return true;
 	}
-	if (st->keep || st->refusals == 0)
+	if (st->exempt || st->refusals == 0)
 		return false;
-	entry_refuse_now(d, st, st->why, st->retry_after);
+	entry_refuse(d, st, st->why, st->retry_after);
 	return true;
 }
 
 /* Tries all engines again after all of them refused. */
 static void
-request_round(struct dispatch *d, msec now, struct dispatch_request_state *st)
+request_retry_round(
+    struct dispatch *d, msec now, struct dispatch_request_state *st)
 {
-	if (request_give_up(d, st))
+	if (request_try_refuse(d, st))
 		return;
 	st->ntried = 0;
-	request_fill(d, now, st);
-	request_arm(d, st);
+	request_reserve_candidates(d, now, st);
+	request_timer_arm(d, st);
 }
 
 static void
-request_due(struct dispatch *d, msec now, struct timer *t)
+request_timer_due(struct dispatch *d, msec now, struct timer *t)
 {
 	struct dispatch_request_state *st = (struct dispatch_request_state *)t;
 
-	if (!st->keep && now >= st->start_by) {
+	if (!st->exempt && now >= st->latest_start) {
 		d->counters.hopeless++;
-		entry_refuse_now(
+		entry_refuse(
 		    d, st, DISPATCH_HOPELESS, MAX(st->retry_after, 500));
 		return;
 	}
 	if (now >= st->retry_at) {
-		request_round(d, now, st);
+		request_retry_round(d, now, st);
 		return;
 	}
 	if (now >= st->widen_at)
-		request_widen(d, now, st);
-	legs_again(d, now, st);
-	request_fill(d, now, st);
-	request_arm(d, st);
+		request_add_candidates(d, now, st);
+	candidates_resend(d, now, st);
+	request_reserve_candidates(d, now, st);
+	request_timer_arm(d, st);
 }
 
 void
@@ -442,7 +452,7 @@
 	if (st->phase == REQUEST_GRANTED)
 		send_cancel(
 		    d, st->engine->owner, st->engine->id, st->request->id);
-	legs_cancel(d, st, NULL);
+	candidates_cancel(d, st, NULL);
 	request_free(d, st);
 }
 
@@ -462,7 +472,7 @@
 	v->first_token_ms = (unsigned int)MAX(0, res->first_token);
 	v->tokens = res->tokens;
 	v->stream_ms = (unsigned int)MAX(0, res->stream);
-	choose_learn(now, st, res);
+	choose_record_result(now, st, res);
 	if (d->priv->policy->owners)
 		dispatch_post(d, e->owner, &m);
 	request_free(d, st);
@@ -496,27 +506,27 @@
 	    st->engine->id == m->engine && st->engine->owner == from)
 		return;
 	if (st == NULL || st->phase != REQUEST_WAITING || e == NULL ||
-	    e->leaving || leg_find(st, m->engine, from) == NULL) {
+	    e->leaving || candidate_find(st, m->engine, from) == NULL) {
 		log_debug("grant of %u returned", m->id);
 		send_cancel(d, from, m->engine, m->id);
 		return;
 	}
-	entry_grant_now(d, now, st, e);
+	entry_grant(d, now, st, e);
 }
 
 void
 entry_on_refuse(struct dispatch *d, msec now, name_id from, const sp_refuse *m)
 {
 	struct dispatch_request_state *st = request_find(d, m->id);
-	struct leg *leg;
+	struct candidate *candidate;
 
 	if (st == NULL || st->phase != REQUEST_WAITING)
 		return;
-	leg = leg_find(st, m->engine, from);
-	if (leg == NULL)
+	candidate = candidate_find(st, m->engine, from);
+	if (candidate == NULL)
 		return;
-	leg_remove(st, leg);
-	choose_not_again(st, m->engine);
+	candidate_remove(st, candidate);
+	choose_exclude(st, m->engine);
 	if (m->reason == SP_QUEUE_FULL || m->reason == SP_EVICTED ||
 	    m->reason == SP_HOPELESS) {
 		st->refusals++;
@@ -525,28 +535,28 @@
 						    : DISPATCH_QUEUE_FULL;
 		st->retry_after = m->retry_after_ms;
 	}
-	if (st->nlegs == 0 && st->refusals >= refusals_most(st) &&
-	    request_give_up(d, st))
+	if (st->ncandidates == 0 && st->refusals >= refusals_max(st) &&
+	    request_try_refuse(d, st))
 		return;
-	request_fill(d, now, st);
-	if (st->nlegs == 0 && request_give_up(d, st))
+	request_reserve_candidates(d, now, st);
+	if (st->ncandidates == 0 && request_try_refuse(d, st))
 		return;
-	request_arm(d, st);
+	request_timer_arm(d, st);
 }
 
 void
 entry_on_queued(struct dispatch *d, msec now, name_id from, const sp_queued *m)
 {
 	struct dispatch_request_state *st = request_find(d, m->id);
-	struct leg *leg;
+	struct candidate *candidate;
 
 	if (st == NULL || st->phase != REQUEST_WAITING)
 		return;
-	leg = leg_find(st, m->engine, from);
-	if (leg == NULL)
+	candidate = candidate_find(st, m->engine, from);
+	if (candidate == NULL)
 		return;
-	leg->heard = now;
-	leg->again = now + (st->keep ? AGAIN_KEEP : AGAIN_MOST);
+	candidate->replied_at = now;
+	candidate->next_send = now + (st->exempt ? RESEND_QUEUED : RESEND_MAX);
 	st->retry_after = m->wait_ms;
 }
 
@@ -572,15 +582,15 @@
 	unsigned int i;
 
 	TAILQ_FOREACH_SAFE (st, &d->priv->waiting, entry, next) {
-		for (i = 0; i < st->nlegs; i++) {
-			if (st->legs[i].engine == e)
+		for (i = 0; i < st->ncandidates; i++) {
+			if (st->candidates[i].engine == e)
 				break;
 		}
-		if (i == st->nlegs)
+		if (i == st->ncandidates)
 			continue;
-		leg_remove(st, &st->legs[i]);
-		request_fill(d, now, st);
-		request_arm(d, st);
+		candidate_remove(st, &st->candidates[i]);
+		request_reserve_candidates(d, now, st);
+		request_timer_arm(d, st);
 	}
 }
 
@@ -593,34 +603,34 @@
 entry_owner_changed(struct dispatch *d, msec now, struct engine *e, name_id old)
 {
 	struct dispatch_request_state *st;
-	struct leg *leg;
+	struct candidate *candidate;
 
 	entry_report_running(d, now, e);
 	TAILQ_FOREACH (st, &d->priv->waiting, entry) {
-		leg = leg_find(st, e->id, old);
-		if (leg == NULL)
+		candidate = candidate_find(st, e->id, old);
+		if (candidate == NULL)
 			continue;
 		if (old != e->owner &&
 		    g_hash_table_contains(d->priv->peers, &old))
 			send_cancel(d, old, e->id, st->request->id);
-		leg->owner = e->owner;
-		leg->tries = 0;
-		leg->heard = 0;
-		leg_send(d, now, st, leg);
-		request_arm(d, st);
+		candidate->owner = e->owner;
+		candidate->send_count = 0;
+		candidate->replied_at = 0;
+		candidate_reserve(d, now, st, candidate);
+		request_timer_arm(d, st);
 	}
 }
 
 static unsigned int
-request_class_first(
+request_pack_class_first(
     const struct dispatch *d, const struct dispatch_request_state *st)
 {
 	unsigned int first = 0;
 
-	if (!d->priv->tells_first)
-		first = FIRST_UNTOLD;
+	if (!d->priv->reports_first_token)
+		first = FIRST_TOKEN_UNREPORTED;
 	else if (st->first_token >= 0)
-		first = MIN(st->first_token + 1, FIRST_UNTOLD - 1);
+		first = MIN(st->first_token + 1, FIRST_TOKEN_UNREPORTED - 1);
 	return first << 8 | st->request->class_index;
 }
 
@@ -653,7 +663,8 @@
 	v->list.list_val = list;
 	TAILQ_FOREACH (st, &e->running, entry) {
 		list[v->list.list_len].id = st->request->id;
-		list[v->list.list_len].class_first = request_class_first(d, st);
+		list[v->list.list_len].class_first =
+		    request_pack_class_first(d, st);
 		if (++v->list.list_len < SAVORY_RUNNING_MAX)
 			continue;
 		entry_send_running(d, now, e, &m);
@@ -672,5 +683,5 @@
 	g_hash_table_iter_init(&it, d->priv->engines);
 	while (g_hash_table_iter_next(&it, NULL, (gpointer *)&e))
 		entry_report_running(d, now, e);
-	timer_set(d, t, now + RUNNING_EVERY);
+	timer_set(d, t, now + RUNNING_REPORT_INTERVAL);
 }
--- a/dispatch-learn.c
+++ b/dispatch-learn.c
@@ -8,7 +8,7 @@
 #include "dispatch-private.h"
 
 /* Number of samples at which all counts are halved. */
-#define LENGTH_MEMORY 1000
+#define LENGTH_SAMPLES_MAX 1000
 /* Length in tokens assumed for a class without answers. */
 #define LENGTH_DEFAULT 200
 
@@ -48,7 +48,7 @@
 	unsigned int i;
 
 	l->count[length_bucket(n)]++;
-	if (++l->total < LENGTH_MEMORY)
+	if (++l->total < LENGTH_SAMPLES_MAX)
 		return;
 	l->total = 0;
 	for (i = 0; i < LENGTH_BUCKETS; i++) {
--- a/dispatch-policy.c
+++ b/dispatch-policy.c
@@ -98,10 +98,10 @@
 	if (engine_count(st) > 0)
 		e = pick(d, st);
 	if (e == NULL) {
-		entry_refuse_now(d, st, DISPATCH_NO_ENGINE, MSEC_SECOND);
+		entry_refuse(d, st, DISPATCH_NO_ENGINE, MSEC_SECOND);
 		return;
 	}
-	entry_grant_now(d, now, st, e);
+	entry_grant(d, now, st, e);
 }
 
 static struct engine *
--- a/dispatch-private.h
+++ b/dispatch-private.h
@@ -11,7 +11,7 @@
 #include <string.h>
 
 /* Candidate engines that one request may have reservations with at a time. */
-#define LEGS_MAX 8
+#define CANDIDATES_MAX 8
 /* Engines that refused a request and are not tried again in this round. */
 #define TRIED_MAX 32
 /* Maximum reservations queued for one engine. */
@@ -21,13 +21,13 @@
 /* Time after which a grant expires unless the entry node renews it. */
 #define GRANT_EXPIRY (3500)
 /* Interval between an entry node's reports of its running requests. */
-#define RUNNING_EVERY (1 * MSEC_SECOND)
+#define RUNNING_REPORT_INTERVAL (1 * MSEC_SECOND)
 /* In sp_running_one: the entry node does not report first tokens. */
-#define FIRST_UNTOLD 0xffffff
+#define FIRST_TOKEN_UNREPORTED 0xffffff
 /* Fixed cost of any prompt, in prompt tokens. */
-#define PROMPT_BASE 200
+#define PROMPT_BASE_TOKENS 200
 /* Interval between an owner's checks for expired reservations, in ms. */
-#define SWEEP_EVERY (500)
+#define EXPIRY_INTERVAL (500)
 
 /* ---- timers ---- */
 
@@ -73,7 +73,7 @@
 	msec between_tokens;
 	msec whole_answer;
 	struct lengths lengths;
-	double refused_part; /* moving average at this entry node, 0 to 1 */
+	double refused_fraction; /* moving average at this entry node, 0 to 1 */
 };
 
 struct service {
@@ -99,7 +99,7 @@
 enum reservation_state {
 	RESERVATION_QUEUED,
 	RESERVATION_GRANTED,
-	RESERVATION_FOUND /* running; granted by a previous owner */
+	RESERVATION_ADOPTED /* running; granted by a previous owner */
 };
 
 /* A request at the owner of an engine, queued or running. */
@@ -113,16 +113,16 @@
 	unsigned int class_index;
 	unsigned int tier;
 	bool is_protected;
-	bool keep; /* never refused or evicted */
+	bool exempt; /* never refused or evicted */
 	name_id organisation;
 	unsigned int prompt; /* tokens */
 	unsigned int cost;   /* expected answer tokens */
-	msec start_by;	     /* latest useful start; MSEC_NEVER: none */
-	msec seen;	     /* last received or renewed */
+	msec latest_start;   /* latest useful start; MSEC_NEVER: none */
+	msec renewed_at;     /* last received or renewed */
 	msec queued;	     /* when it was received */
 	msec granted;
-	bool has_first; /* its first token is in the statistics */
-	bool tells;	/* its entry node reports first tokens */
+	bool first_recorded; /* its first token is in the statistics */
+	bool reports_first;  /* its entry node reports first tokens */
 	uint64_t seq;
 	struct org_queue *org;
 };
@@ -135,7 +135,7 @@
 	name_id id;
 	unsigned int weight;
 	unsigned int count;
-	double served; /* virtual time: cost divided by weight */
+	double virtual_time; /* virtual time: cost divided by weight */
 	struct queue_tree tree;
 };
 
@@ -144,12 +144,12 @@
 	unsigned int count;
 	unsigned int tier;
 	bool is_protected;
-	unsigned int late_turn; /* grants since the last late one */
+	unsigned int grants_since_late; /* grants since the last late one */
 	unsigned int floor_permille;
-	double served;	/* virtual time of the last grant */
-	double credit;	/* cost due to the class for its floor share */
-	double cost;	/* decaying maximum of its requests' cost */
-	double granted; /* cost granted, decaying over some seconds */
+	double virtual_time; /* virtual time of the last grant */
+	double floor_credit; /* cost due to the class for its floor share */
+	double cost;	     /* decaying maximum of its requests' cost */
+	double granted;	     /* cost granted, decaying over some seconds */
 	msec granted_at;
 };
 
@@ -172,9 +172,9 @@
 /* The reservation to evict for one of this tier, or NULL. */
 struct reservation *queue_victim(struct queue *, unsigned int);
 /* Queued cost, in tokens, that is granted before this reservation. */
-double queue_ahead(struct queue *, const struct reservation *);
+double queue_cost_ahead(struct queue *, const struct reservation *);
 /* The part of the engine's rate, in tokens per ms, left for its class. */
-double queue_rate(
+double queue_class_rate(
     struct queue *, struct service *, const struct reservation *, double, msec);
 
 /* ---- adaptive slot limit of one engine ---- */
@@ -183,12 +183,13 @@
 	double limit;
 	bool slow_start;
 	msec decreased; /* time of the last decrease */
-	double best;	/* slowly decaying maximum of limits that met targets */
-	unsigned int done; /* good samples in this epoch */
-	unsigned int class_bad[DOCUMENT_CLASSES_MAX];
+	double
+	    best_limit; /* slowly decaying maximum of limits that met targets */
+	unsigned int epoch_samples; /* good samples in this epoch */
+	unsigned int class_misses[DOCUMENT_CLASSES_MAX];
 	/* Lower quartile of the first-token time in ms per prompt token; 0:
 	 * unknown. */
-	double first_work[DOCUMENT_CLASSES_MAX];
+	double prompt_token_ms[DOCUMENT_CLASSES_MAX];
 	/* Moving averages in ms and tokens; 0: unknown. */
 	double first_token;
 	double token_ms;
@@ -210,27 +211,31 @@
 void slots_init(struct slots *, unsigned int, msec);
 unsigned int slots_limit(const struct slots *);
 /* Records a first token; the flag is true if the engine was full. */
-void slots_first(struct slots *, msec, const struct slots_sample *, bool);
+void slots_record_first_token(
+    struct slots *, msec, const struct slots_sample *, bool);
 /* Whether a first token is late, by class, prompt tokens and ms waited. */
-bool slots_overdue(const struct slots *, unsigned int, unsigned int, msec);
+bool slots_first_token_overdue(
+    const struct slots *, unsigned int, unsigned int, msec);
 /* Of `running` requests, `stalled` are overdue for a first token. */
+void slots_record_stalled(
+    struct slots *, msec, unsigned int running, unsigned int stalled);
 void
-slots_stalled(struct slots *, msec, unsigned int running, unsigned int stalled);
-void slots_done(struct slots *, msec, const struct slots_sample *, bool);
-void slots_failed(struct slots *, msec);
+slots_record_answer(struct slots *, msec, const struct slots_sample *, bool);
+void slots_record_failure(struct slots *, msec);
 
 /* ---- engines ---- */
 
 /* State that only the owner of an engine has. */
-struct owned {
+struct owner_state {
 	struct timer wake; /* first: its callback casts it to struct owned */
 	struct engine *engine;
 	struct reservation_tree tree;
 	struct queue queue;
 	struct slots slots;
 	unsigned int running;
-	msec hold_until;    /* no grants before: entry nodes report what runs */
-	msec rebuild_until; /* adopts the previous owner's limit until then */
+	msec hold_until; /* no grants before: entry nodes report what runs */
+	msec adopt_limit_until; /* adopts the previous owner's limit until then
+				 */
 	unsigned int failures;
 	msec failed_until;
 };
@@ -244,13 +249,14 @@
 	unsigned int slots_hint;
 	struct service *service;
 	name_id owner; /* 0: none */
-	struct owned *own;
+	struct owner_state *owner_state;
 	/* State at an entry node. */
 	TAILQ_HEAD(, dispatch_request_state) running;
 	unsigned int nrunning;
 	unsigned int slots; /* from the last grant; 0: unknown */
 	double token_ms;    /* 0: unknown */
-	double first_work;  /* first token, ms per prompt token; 0: unknown */
+	double
+	    prompt_token_ms; /* first token, ms per prompt token; 0: unknown */
 	unsigned int failures;
 	msec failed_until;
 	/* From the engine's last load report. */
@@ -262,13 +268,13 @@
 /* ---- requests of this entry node ---- */
 
 /* An engine with whose owner a request has an open reservation. */
-struct leg {
+struct candidate {
 	struct engine *engine;
 	name_id owner;
 	msec sent;
-	msec again;	    /* when to send it again */
-	msec heard;	    /* last reply; 0: none */
-	unsigned int tries; /* times sent */
+	msec next_send;		 /* when to send it again */
+	msec replied_at;	 /* last reply; 0: none */
+	unsigned int send_count; /* times sent */
 };
 
 enum request_phase {
@@ -283,16 +289,16 @@
 	struct service *service;
 	struct class *class;
 	enum request_phase phase;
-	bool keep; /* never refused for load: protected, or resumed */
-	struct leg legs[LEGS_MAX];
-	unsigned int nlegs;
-	unsigned int want; /* candidates to keep reserved */
+	bool exempt; /* never refused for load: protected, or resumed */
+	struct candidate candidates[CANDIDATES_MAX];
+	unsigned int ncandidates;
+	unsigned int candidates_wanted; /* candidates to keep reserved */
 	name_id tried[TRIED_MAX];
 	unsigned int ntried;
 	unsigned int refusals;
 	enum dispatch_refusal why; /* reason of the last refusal */
 	msec retry_after;
-	msec start_by;
+	msec latest_start;
 	msec widen_at;
 	msec retry_at; /* next round without candidates; else MSEC_NEVER */
 	unsigned int widened;  /* times that candidates were added */
@@ -338,7 +344,7 @@
 	name_id self;
 	uint64_t incarnation;
 	name_id domain;
-	bool left; /* dispatch_leave() was called */
+	bool has_left; /* dispatch_leave() was called */
 	GRand *rand;
 	GHashTable *peers;    /* name_id to struct peer */
 	GHashTable *engines;  /* name_id to struct engine */
@@ -350,10 +356,10 @@
 	struct timer_tree timers;
 	uint64_t timer_seq;
 	struct timer running_timer;
-	struct timer sweep_timer;
+	struct timer expiry_timer;
 	STAILQ_HEAD(, local_msg) local; /* messages to the local node */
 	unsigned int depth;		/* nested dispatch_enter() calls */
-	bool tells_first;		/* dispatch_first_token() is used */
+	bool reports_first_token;	/* dispatch_first_token() is used */
 };
 
 /*
@@ -365,24 +371,24 @@
 /* Chooses an engine that the request has not tried, or NULL. */
 struct engine *
 choose_engine(struct dispatch *, msec, struct dispatch_request_state *);
-void choose_not_again(struct dispatch_request_state *, name_id);
+void choose_exclude(struct dispatch_request_state *, name_id);
 /* Updates the statistics from a request that has ended. */
-void choose_learn(
+void choose_record_result(
     msec, struct dispatch_request_state *, const struct dispatch_result *);
 
 /* Sends to a node, or queues a message to the local node. */
 void dispatch_post(struct dispatch *, name_id, const sp_msg *);
 struct engine *engine_find(struct dispatch *, name_id);
 /* Frees an engine that is not listed and runs nothing. */
-void engine_forget(struct dispatch *, struct engine *);
+void engine_free_unused(struct dispatch *, struct engine *);
 
 void entry_submit(struct dispatch *, msec, struct dispatch_request_state *);
 void entry_cancel(struct dispatch *, msec, struct dispatch_request_state *);
 void entry_done(struct dispatch *, msec, struct dispatch_request_state *,
     const struct dispatch_result *);
-void entry_grant_now(
+void entry_grant(
     struct dispatch *, msec, struct dispatch_request_state *, struct engine *);
-void entry_refuse_now(struct dispatch *, struct dispatch_request_state *,
+void entry_refuse(struct dispatch *, struct dispatch_request_state *,
     enum dispatch_refusal, msec);
 void entry_on_grant(struct dispatch *, msec, name_id, const sp_grant *);
 void entry_on_refuse(struct dispatch *, msec, name_id, const sp_refuse *);
@@ -394,16 +400,16 @@
 void entry_report_running(struct dispatch *, msec, struct engine *);
 void entry_report_due(struct dispatch *, msec, struct timer *);
 
-void owner_take(struct dispatch *, msec, struct engine *);
-void owner_drop(struct dispatch *, msec, struct engine *, enum sp_refusal);
-void owner_forget(struct engine *);
-void owner_node_gone(struct dispatch *, msec, name_id, uint64_t);
+void owner_acquire(struct dispatch *, msec, struct engine *);
+void owner_release(struct dispatch *, msec, struct engine *, enum sp_refusal);
+void owner_free(struct engine *);
+void owner_release_node(struct dispatch *, msec, name_id, uint64_t);
 void owner_on_reserve(
     struct dispatch *, msec, name_id, uint64_t, const sp_reserve *);
 void owner_on_cancel(struct dispatch *, msec, name_id, const sp_cancel *);
 void owner_on_done(struct dispatch *, msec, name_id, const sp_done *);
 void owner_on_running(
     struct dispatch *, msec, name_id, uint64_t, const sp_running *);
-void owner_sweep_due(struct dispatch *, msec, struct timer *);
+void owner_expire_due(struct dispatch *, msec, struct timer *);
 
 #endif /* DISPATCH_PRIVATE_H */
--- a/dispatch-queue.c
+++ b/dispatch-queue.c
@@ -10,24 +10,25 @@
 #include <math.h>
 
 /* Maximum floor credit of a class, in requests. */
-#define CREDIT_MAX 3
+#define FLOOR_CREDIT_MAX 3
 /* Time constant in ms by which granted cost decays. */
-#define FORGET 10000.0
+#define GRANT_DECAY_MS 10000.0
 /* Minimum part of an engine that a class is expected to get, in permille. */
-#define LEFT_LEAST 20
+#define RATE_MIN_PERMILLE 20
 /* Grants to requests on time before one to a late request. */
-#define LATE_EVERY 4
+#define LATE_INTERVAL 4
 /* Maximum debt of a class that got more than its floor, in requests. */
-#define CREDIT_DEBT 4
+#define FLOOR_DEBT_MAX 4
 
 static int queue_compare(struct reservation *, struct reservation *);
 static struct org_queue *
 class_org(struct class_queue *, struct service *, name_id);
-static struct reservation *org_on_time(struct org_queue *, msec);
-static bool is_late(const struct reservation *, msec);
+static struct reservation *org_first_on_time(struct org_queue *, msec);
+static bool reservation_is_late(const struct reservation *, msec);
 static struct reservation *class_head(struct class_queue *, msec);
 static double class_granted(const struct class_queue *, msec);
-static bool head_before(const struct reservation *, const struct reservation *);
+static bool
+reservation_precedes(const struct reservation *, const struct reservation *);
 
 RB_PROTOTYPE(queue_tree, reservation, queue_entry, queue_compare)
 RB_GENERATE(queue_tree, reservation, queue_entry, queue_compare)
@@ -35,8 +36,8 @@
 static int
 queue_compare(struct reservation *a, struct reservation *b)
 {
-	if (a->start_by != b->start_by)
-		return a->start_by < b->start_by ? -1 : 1;
+	if (a->latest_start != b->latest_start)
+		return a->latest_start < b->latest_start ? -1 : 1;
 	if (a->seq != b->seq)
 		return a->seq < b->seq ? -1 : 1;
 	return 0;
@@ -65,7 +66,7 @@
 	oq->id = id;
 	oq->weight = service_weight(s, id);
 	/* Starts at the current virtual time: no credit for idle time. */
-	oq->served = cq->served;
+	oq->virtual_time = cq->virtual_time;
 	RB_INIT(&oq->tree);
 	TAILQ_INSERT_TAIL(&cq->orgs, oq, entry);
 	return oq;
@@ -78,7 +79,7 @@
 
 	/* A class with nothing queued keeps no credit. */
 	if (cq->count == 0)
-		cq->credit = MIN(0, cq->credit);
+		cq->floor_credit = MIN(0, cq->floor_credit);
 	cq->tier = res->tier;
 	cq->is_protected = res->is_protected;
 	cq->cost = MAX(res->cost, cq->cost * 0.9);
@@ -109,23 +110,24 @@
 
 /* The first reservation that can still start in time, or NULL. */
 static struct reservation *
-org_on_time(struct org_queue *oq, msec now)
+org_first_on_time(struct org_queue *oq, msec now)
 {
-	struct reservation key = { .start_by = now };
+	struct reservation key = { .latest_start = now };
 
 	return RB_NFIND(queue_tree, &oq->tree, &key);
 }
 
 static bool
-is_late(const struct reservation *res, msec now)
+reservation_is_late(const struct reservation *res, msec now)
 {
-	return res->start_by < now;
+	return res->latest_start < now;
 }
 
 /*
  * Requests that can still start in time go before late ones: by start limit
  * alone, late requests would go first in a burst and delay the others until all
- * miss their targets. A late one goes after LATE_EVERY others, so that it runs.
+ * miss their targets. A late one goes after LATE_INTERVAL others, so that it
+ * runs.
  */
 static struct reservation *
 class_head(struct class_queue *cq, msec now)
@@ -133,24 +135,25 @@
 	struct org_queue *oq, *best = NULL, *late = NULL;
 
 	TAILQ_FOREACH (oq, &cq->orgs, entry) {
-		if (org_on_time(oq, now) != NULL &&
-		    (best == NULL || oq->served < best->served))
+		if (org_first_on_time(oq, now) != NULL &&
+		    (best == NULL || oq->virtual_time < best->virtual_time))
 			best = oq;
-		if (is_late(RB_MIN(queue_tree, &oq->tree), now) &&
-		    (late == NULL || oq->served < late->served))
+		if (reservation_is_late(RB_MIN(queue_tree, &oq->tree), now) &&
+		    (late == NULL || oq->virtual_time < late->virtual_time))
 			late = oq;
 	}
-	if (late != NULL && (best == NULL || cq->late_turn >= LATE_EVERY))
+	if (late != NULL &&
+	    (best == NULL || cq->grants_since_late >= LATE_INTERVAL))
 		return RB_MIN(queue_tree, &late->tree);
-	return best == NULL ? NULL : org_on_time(best, now);
+	return best == NULL ? NULL : org_first_on_time(best, now);
 }
 
 static bool
-head_before(const struct reservation *a, const struct reservation *b)
+reservation_precedes(const struct reservation *a, const struct reservation *b)
 {
 	if (a->tier != b->tier)
 		return a->tier < b->tier;
-	return a->start_by < b->start_by;
+	return a->latest_start < b->latest_start;
 }
 
 struct reservation *
@@ -172,11 +175,11 @@
 		if (cq->count == 0 || skip[i])
 			continue;
 		res = class_head(cq, now);
-		if (cq->credit >= res->cost && cq->credit > most) {
-			most = cq->credit;
+		if (cq->floor_credit >= res->cost && cq->floor_credit > most) {
+			most = cq->floor_credit;
 			owed = res;
 		}
-		if (best == NULL || head_before(res, best))
+		if (best == NULL || reservation_precedes(res, best))
 			best = res;
 	}
 	return owed != NULL ? owed : best;
@@ -199,16 +202,19 @@
 		cq = &q->classes[i];
 		if (cq->count == 0 || cq->floor_permille == 0)
 			continue;
-		cq->credit += cost * cq->floor_permille / 1000;
-		cq->credit = MIN(cq->credit, CREDIT_MAX * cq->cost);
+		cq->floor_credit += cost * cq->floor_permille / 1000;
+		cq->floor_credit =
+		    MIN(cq->floor_credit, FLOOR_CREDIT_MAX * cq->cost);
 	}
 	cq = &q->classes[res->class_index];
-	cq->credit = MAX(cq->credit - cost, -CREDIT_DEBT * cq->cost);
+	cq->floor_credit =
+	    MAX(cq->floor_credit - cost, -FLOOR_DEBT_MAX * cq->cost);
 	cq->granted = class_granted(cq, now) + cost;
 	cq->granted_at = now;
-	cq->late_turn = is_late(res, now) ? 0 : cq->late_turn + 1;
-	cq->served = oq->served;
-	oq->served += cost / oq->weight;
+	cq->grants_since_late =
+	    reservation_is_late(res, now) ? 0 : cq->grants_since_late + 1;
+	cq->virtual_time = oq->virtual_time;
+	oq->virtual_time += cost / oq->weight;
 	queue_remove(q, res);
 }
 
@@ -237,19 +243,20 @@
 			most = oq;
 	}
 	res = RB_MAX(queue_tree, &most->tree);
-	return res->keep ? NULL : res;
+	return res->exempt ? NULL : res;
 }
 
 static double
 class_granted(const struct class_queue *cq, msec now)
 {
-	return cq->granted * exp(-(double)(now - cq->granted_at) / FORGET);
+	return cq->granted *
+	       exp(-(double)(now - cq->granted_at) / GRANT_DECAY_MS);
 }
 
 /* Subtracts what higher tiers have used recently, down to the floor share. */
 double
-queue_rate(struct queue *q, struct service *s, const struct reservation *res,
-    double rate, msec now)
+queue_class_rate(struct queue *q, struct service *s,
+    const struct reservation *res, double rate, msec now)
 {
 	const struct class *c = service_class(s, res->class_index);
 	double left = rate;
@@ -257,13 +264,15 @@
 
 	for (i = 0; i < DOCUMENT_CLASSES_MAX; i++) {
 		if (q->classes[i].tier < res->tier)
-			left -= class_granted(&q->classes[i], now) / FORGET;
+			left -=
+			    class_granted(&q->classes[i], now) / GRANT_DECAY_MS;
 	}
-	return MAX(left, rate * MAX(c->floor_permille, LEFT_LEAST) / 1000);
+	return MAX(
+	    left, rate * MAX(c->floor_permille, RATE_MIN_PERMILLE) / 1000);
 }
 
 double
-queue_ahead(struct queue *q, const struct reservation *res)
+queue_cost_ahead(struct queue *q, const struct reservation *res)
 {
 	struct class_queue *cq;
 	struct org_queue *oq;
--- a/dispatch-slots.c
+++ b/dispatch-slots.c
@@ -12,11 +12,11 @@
 #define SLOTS_START 4
 #define SLOTS_MAX 1024
 /* Minimum good samples in an epoch; one per slot if there are more slots. */
-#define EPOCH_LEAST 4
+#define EPOCH_SAMPLES_MIN 4
 /* Samples of a class in an epoch that must miss targets before a decrease:
  * part of the limit, and minimum. */
-#define BAD_PART 0.15
-#define BAD_LEAST 2
+#define MISS_FRACTION 0.15
+#define MISS_MIN 2
 /* Part of the first-token target that the engine itself may use. */
 #define FIRST_TOKEN_SHARE 0.6
 #define DECREASE 0.9
@@ -25,30 +25,31 @@
 #define INCREASE 0.5
 #define INCREASE_RECOVER 2
 #define RECOVER_BELOW 0.8
-#define BEST_FORGET 0.999
+#define BEST_LIMIT_DECAY 0.999
 /*
  * A request has waited inside the engine if its first token takes longer than
  * this multiple of the usual time for its prompt and class (prompts may be
  * cached or not), plus these batch steps and ms.
  */
-#define QUEUED_RISE 3
-#define QUEUED_STEPS 6
-#define QUEUED_SLACK 50
+#define OVERDUE_FACTOR 3
+#define OVERDUE_STEPS 6
+#define OVERDUE_SLACK 50
 /* Relative change of the first-token quartile per sample. */
 #define QUARTILE_STEP 0.005
 /* Minimum part of the running requests that must be overdue; single requests
  * may be slow for other reasons. */
-#define STALLED_PART 0.06
+#define STALLED_FRACTION 0.06
 
 static double sample_token_ms(const struct slots_sample *);
 static double prompt_work(unsigned int);
 static double
 first_token_bound(const struct slots *, unsigned int, unsigned int);
-static void first_learn(double *, double);
-static bool first_is_bad(struct slots *, const struct slots_sample *);
-static bool answer_is_bad(const struct slots_sample *);
-static void slots_bad(struct slots *, msec, const struct slots_sample *);
-static void slots_good(struct slots *, bool);
+static void quartile_update(double *, double);
+static bool first_token_misses(struct slots *, const struct slots_sample *);
+static bool answer_misses(const struct slots_sample *);
+static void
+slots_record_miss(struct slots *, msec, const struct slots_sample *);
+static void slots_record_hit(struct slots *, bool);
 static void slots_decrease(struct slots *, msec, double);
 static void epoch_begin(struct slots *);
 
@@ -68,17 +69,17 @@
 }
 
 static double
-sample_token_ms(const struct slots_sample *one)
+sample_token_ms(const struct slots_sample *sample)
 {
-	if (one->tokens < 2)
+	if (sample->tokens < 2)
 		return 0;
-	return (double)one->stream / (one->tokens - 1);
+	return (double)sample->stream / (sample->tokens - 1);
 }
 
 static double
 prompt_work(unsigned int prompt)
 {
-	return prompt + PROMPT_BASE;
+	return prompt + PROMPT_BASE_TOKENS;
 }
 
 /* Maximum first-token time in ms of a request that did not wait. */
@@ -86,13 +87,14 @@
 first_token_bound(
     const struct slots *s, unsigned int class_index, unsigned int prompt)
 {
-	return s->first_work[class_index] * prompt_work(prompt) * QUEUED_RISE +
-	       s->token_ms * QUEUED_STEPS + QUEUED_SLACK;
+	return s->prompt_token_ms[class_index] * prompt_work(prompt) *
+		   OVERDUE_FACTOR +
+	       s->token_ms * OVERDUE_STEPS + OVERDUE_SLACK;
 }
 
 /* Estimates the lower quartile: three times as large steps down as up. */
 static void
-first_learn(double *quartile, double v)
+quartile_update(double *quartile, double v)
 {
 	if (*quartile == 0)
 		*quartile = v;
@@ -103,37 +105,38 @@
 }
 
 static bool
-first_is_bad(struct slots *s, const struct slots_sample *one)
+first_token_misses(struct slots *s, const struct slots_sample *sample)
 {
-	msec target = one->class->first_token;
+	msec target = sample->class->first_token;
 	double bound;
 
-	bound = first_token_bound(s, one->class_index, one->prompt);
-	first_learn(&s->first_work[one->class_index],
-	    MAX(1, one->first_token) / prompt_work(one->prompt));
-	if (target > 0 && one->first_token > target * FIRST_TOKEN_SHARE)
+	bound = first_token_bound(s, sample->class_index, sample->prompt);
+	quartile_update(&s->prompt_token_ms[sample->class_index],
+	    MAX(1, sample->first_token) / prompt_work(sample->prompt));
+	if (target > 0 && sample->first_token > target * FIRST_TOKEN_SHARE)
 		return true;
 	/* Plain services, which have no token rate, have no predictable time.
 	 */
-	return s->token_ms > 0 && one->first_token > bound;
+	return s->token_ms > 0 && sample->first_token > bound;
 }
 
 static bool
-answer_is_bad(const struct slots_sample *one)
+answer_misses(const struct slots_sample *sample)
 {
-	const struct class *c = one->class;
+	const struct class *c = sample->class;
 
-	if (c->between_tokens > 0 && sample_token_ms(one) > c->between_tokens)
+	if (c->between_tokens > 0 &&
+	    sample_token_ms(sample) > c->between_tokens)
 		return true;
-	return one->tokens < 2 && c->whole_answer > 0 &&
-	       one->first_token + one->stream > c->whole_answer;
+	return sample->tokens < 2 && c->whole_answer > 0 &&
+	       sample->first_token + sample->stream > c->whole_answer;
 }
 
 static void
 epoch_begin(struct slots *s)
 {
-	s->done = 0;
-	memset(s->class_bad, 0, sizeof s->class_bad);
+	s->epoch_samples = 0;
+	memset(s->class_misses, 0, sizeof s->class_misses);
 }
 
 static void
@@ -146,15 +149,15 @@
 }
 
 static void
-slots_bad(struct slots *s, msec now, const struct slots_sample *one)
+slots_record_miss(struct slots *s, msec now, const struct slots_sample *sample)
 {
 	unsigned int least;
 
 	/* Granted before the last decrease: not a result of the new limit. */
-	if (one->granted < s->decreased)
+	if (sample->granted < s->decreased)
 		return;
-	least = MAX(BAD_LEAST, (unsigned int)(s->limit * BAD_PART));
-	if (++s->class_bad[one->class_index] >= least)
+	least = MAX(MISS_MIN, (unsigned int)(s->limit * MISS_FRACTION));
+	if (++s->class_misses[sample->class_index] >= least)
 		slots_decrease(s, now, s->limit * DECREASE);
 }
 
@@ -164,37 +167,37 @@
  * such as a second owner.
  */
 static void
-slots_good(struct slots *s, bool full)
+slots_record_hit(struct slots *s, bool full)
 {
 	double by = INCREASE / s->limit;
 
 	if (s->slow_start)
 		by = 1;
-	else if (s->limit < s->best * RECOVER_BELOW)
+	else if (s->limit < s->best_limit * RECOVER_BELOW)
 		by = INCREASE_RECOVER / s->limit;
-	s->best = MAX(s->limit, s->best * BEST_FORGET);
+	s->best_limit = MAX(s->limit, s->best_limit * BEST_LIMIT_DECAY);
 	if (full)
 		s->limit = MIN(s->limit + by, SLOTS_MAX);
-	if (++s->done >= MAX(EPOCH_LEAST, slots_limit(s)))
+	if (++s->epoch_samples >= MAX(EPOCH_SAMPLES_MIN, slots_limit(s)))
 		epoch_begin(s);
 }
 
 void
-slots_first(
-    struct slots *s, msec now, const struct slots_sample *one, bool full)
+slots_record_first_token(
+    struct slots *s, msec now, const struct slots_sample *sample, bool full)
 {
-	average_add(&s->first_token, one->first_token);
-	if (first_is_bad(s, one))
-		slots_bad(s, now, one);
+	average_add(&s->first_token, sample->first_token);
+	if (first_token_misses(s, sample))
+		slots_record_miss(s, now, sample);
 	else
-		slots_good(s, full);
+		slots_record_hit(s, full);
 }
 
 bool
-slots_overdue(const struct slots *s, unsigned int class_index,
+slots_first_token_overdue(const struct slots *s, unsigned int class_index,
     unsigned int prompt, msec waited)
 {
-	if (s->first_work[class_index] == 0 || s->token_ms == 0)
+	if (s->prompt_token_ms[class_index] == 0 || s->token_ms == 0)
 		return false;
 	return waited > first_token_bound(s, class_index, prompt);
 }
@@ -205,10 +208,10 @@
  * they cannot move to another engine and may starve behind higher priorities.
  */
 void
-slots_stalled(
+slots_record_stalled(
     struct slots *s, msec now, unsigned int running, unsigned int stalled)
 {
-	if (stalled == 0 || stalled < running * STALLED_PART)
+	if (stalled == 0 || stalled < running * STALLED_FRACTION)
 		return;
 	/*
 	 * If all are stalled, the whole engine is blocked and shows no limit. A
@@ -223,23 +226,26 @@
 	slots_decrease(s, now, running - stalled);
 }
 
-/* Records a whole answer; slots_first() has recorded its first token. */
+/* Records a whole answer; slots_record_first_token() has recorded its first
+ * token. */
 void
-slots_done(struct slots *s, msec now, const struct slots_sample *one, bool full)
+slots_record_answer(
+    struct slots *s, msec now, const struct slots_sample *sample, bool full)
 {
-	double token_ms = sample_token_ms(one);
+	double token_ms = sample_token_ms(sample);
 
 	if (token_ms > 0)
 		average_add(&s->token_ms, token_ms);
-	average_add(&s->request_ms, MAX(1, one->first_token + one->stream));
-	average_add(&s->request_cost, MAX(1, one->tokens));
-	if (answer_is_bad(one))
-		slots_bad(s, now, one);
+	average_add(
+	    &s->request_ms, MAX(1, sample->first_token + sample->stream));
+	average_add(&s->request_cost, MAX(1, sample->tokens));
+	if (answer_misses(sample))
+		slots_record_miss(s, now, sample);
 }
 
 /* A failure does not show the right limit; decrease it as a precaution. */
 void
-slots_failed(struct slots *s, msec now)
+slots_record_failure(struct slots *s, msec now)
 {
 	slots_decrease(s, now, s->limit * DECREASE);
 }
--- a/dispatch.c
+++ b/dispatch.c
@@ -90,9 +90,9 @@
 		return;
 	e->owner = owner;
 	if (old == d->priv->self)
-		owner_drop(d, now, e, SP_NOT_OWNER);
+		owner_release(d, now, e, SP_NOT_OWNER);
 	if (owner == d->priv->self)
-		owner_take(d, now, e);
+		owner_acquire(d, now, e);
 	entry_owner_changed(d, now, e, old);
 }
 
@@ -135,13 +135,13 @@
 	peer->domain = node->domain;
 	peer->takes_work = node->takes_work;
 	if (peer->id == d->priv->self) {
-		peer->takes_work &= !d->priv->left;
+		peer->takes_work &= !d->priv->has_left;
 		return;
 	}
 	if (node->incarnation <= before)
 		return;
 	peer->incarnation = node->incarnation;
-	owner_node_gone(d, now, peer->id, peer->incarnation);
+	owner_release_node(d, now, peer->id, peer->incarnation);
 	if (before != 0)
 		node_restarted(d, now, peer->id);
 }
@@ -165,7 +165,7 @@
 	while (g_hash_table_iter_next(&it, NULL, (gpointer *)&peer)) {
 		if (peer->listed)
 			continue;
-		owner_node_gone(d, now, peer->id, UINT64_MAX);
+		owner_release_node(d, now, peer->id, UINT64_MAX);
 		g_hash_table_iter_remove(&it);
 	}
 	owners_update(d, now);
@@ -176,7 +176,7 @@
 dispatch_leave(struct dispatch *d, msec now)
 {
 	dispatch_enter(d);
-	d->priv->left = true;
+	d->priv->has_left = true;
 	peer_get(d, d->priv->self)->takes_work = false;
 	owners_update(d, now);
 	dispatch_exit(d, now);
@@ -289,7 +289,7 @@
 }
 
 void
-engine_forget(struct dispatch *d, struct engine *e)
+engine_free_unused(struct dispatch *d, struct engine *e)
 {
 	if (e->gone && e->nrunning == 0)
 		g_hash_table_remove(d->priv->engines, &e->id);
@@ -325,14 +325,14 @@
 	}
 	e->leaving = true;
 	e->owner = 0;
-	owner_drop(d, now, e, SP_ENGINE_GONE);
+	owner_release(d, now, e, SP_ENGINE_GONE);
 	entry_engine_gone(d, now, e);
 }
 
 static void
 engine_remove(struct dispatch *d, msec now, struct engine *e)
 {
-	owner_drop(d, now, e, SP_ENGINE_GONE);
+	owner_release(d, now, e, SP_ENGINE_GONE);
 	e->owner = 0;
 	e->gone = true;
 	TAILQ_REMOVE(&e->service->engines, e, entry);
@@ -393,7 +393,7 @@
 	st->service = service_get(d, r->service);
 	st->class = service_class(st->service, r->class_index);
 	st->phase = REQUEST_WAITING;
-	st->start_by = st->widen_at = st->retry_at = MSEC_NEVER;
+	st->latest_start = st->widen_at = st->retry_at = MSEC_NEVER;
 	st->timer.at = MSEC_NEVER;
 	r->id = ++p->next_id;
 	r->engine = 0;
@@ -421,7 +421,7 @@
 {
 	if (r->priv == NULL || r->priv->phase != REQUEST_GRANTED)
 		return;
-	d->priv->tells_first = true;
+	d->priv->reports_first_token = true;
 	if (r->priv->first_token < 0)
 		r->priv->first_token = now - r->priv->granted;
 }
@@ -532,7 +532,7 @@
 	peer = peer_get(d, from);
 	if (incarnation > peer->incarnation) {
 		peer->incarnation = incarnation;
-		owner_node_gone(d, now, from, incarnation);
+		owner_release_node(d, now, from, incarnation);
 	}
 	if (incarnation == peer->incarnation)
 		dispatch_handle(d, now, from, incarnation, m);
@@ -582,12 +582,12 @@
 	self->incarnation = p->incarnation;
 	self->domain = p->domain;
 	self->takes_work = true;
-	p->running_timer.at = p->sweep_timer.at = MSEC_NEVER;
+	p->running_timer.at = p->expiry_timer.at = MSEC_NEVER;
 	p->running_timer.fire = entry_report_due;
-	p->sweep_timer.fire = owner_sweep_due;
+	p->expiry_timer.fire = owner_expire_due;
 	if (policy->owners) {
-		timer_set(d, &p->running_timer, now + RUNNING_EVERY);
-		timer_set(d, &p->sweep_timer, now + SWEEP_EVERY);
+		timer_set(d, &p->running_timer, now + RUNNING_REPORT_INTERVAL);
+		timer_set(d, &p->expiry_timer, now + EXPIRY_INTERVAL);
 	}
 	return true;
 }
@@ -609,7 +609,7 @@
 	}
 	g_hash_table_iter_init(&it, p->engines);
 	while (g_hash_table_iter_next(&it, NULL, (gpointer *)&e))
-		owner_forget(e);
+		owner_free(e);
 	while ((l = STAILQ_FIRST(&p->local)) != NULL) {
 		STAILQ_REMOVE_HEAD(&p->local, entry);
 		g_free(l);
--- a/entry-attempt.c
+++ b/entry-attempt.c
@@ -65,7 +65,7 @@
 		.rank = route_rank(j->table, j->route, j->organisation),
 		.navoid = j->ntried };
 	memcpy(w->avoid, j->tried, sizeof w->avoid);
-	if (!j->route->prompts)
+	if (!j->route->has_prompt_parts)
 		return;
 	/* The last part of the prompt is not shared with other requests. */
 	for (i = 0; i + 1 < r->nparts; i++) {
@@ -85,7 +85,7 @@
 	const struct http_head *h = j->head;
 	struct wire_terms terms = { .deadline = j->deadline - now,
 		.server = v->name,
-		.ranked = j->route->prompts,
+		.ranked = j->route->has_prompt_parts,
 		.priority = route_rank(j->table, j->route, j->organisation) };
 	enum wire_field use;
 	unsigned int i;
--- a/entry-duty.c
+++ b/entry-duty.c
@@ -183,7 +183,7 @@
 	unsigned int i;
 
 	for (i = 0; i < c->nservices; i++)
-		json_object_set_new(needed, c->services[i].terms.name,
+		json_object_set_new(needed, c->services[i].config.name,
 		    json_integer(c->services[i].needed));
 	return needed;
 }
@@ -221,7 +221,7 @@
 		return;
 	}
 	json_object_foreach (counts, name, count)
-		usage_base(&x->usage, number, at, name_hash(name),
+		usage_set_previous_count(&x->usage, number, at, name_hash(name),
 		    (unsigned int)CLAMP(
 			json_integer_value(count), 0, G_MAXINT32));
 }
@@ -236,8 +236,8 @@
 	for (i = 0; i < c->nservices; i++) {
 		s = &c->services[i];
 		count =
-		    json_integer_value(json_object_get(needed, s->terms.name));
-		s->held = (unsigned int)CLAMP(count, 0, 1000000);
+		    json_integer_value(json_object_get(needed, s->config.name));
+		s->previous_needed = (unsigned int)CLAMP(count, 0, 1000000);
 	}
 }
 
@@ -347,7 +347,7 @@
 {
 	g_clear_pointer(&x->kept, json_decref);
 	windows_drop(x);
-	capacity_hold(&x->capacity, now, false);
+	capacity_set_holder(&x->capacity, now, false);
 }
 
 /*
@@ -363,7 +363,7 @@
 
 	g_clear_pointer(&x->kept, json_decref);
 	x->kept = notes_capacity(&x->capacity);
-	capacity_hold(&x->capacity, now, false);
+	capacity_set_holder(&x->capacity, now, false);
 	/* The records of these windows may be lost with the old era. */
 	for (i = 0; i < x->usage.nwindows; i++)
 		x->windows[i].saved = x->windows[i].carried = false;
@@ -376,7 +376,7 @@
 	struct entry_duty *x = e->duty;
 
 	x->read_back = true;
-	capacity_hold(&x->capacity, now, e->settings->order_servers);
+	capacity_set_holder(&x->capacity, now, e->settings->order_servers);
 	notes_read_capacity(&x->capacity, x->kept);
 	g_clear_pointer(&x->kept, json_decref);
 	duty_renew_now(&x->duty, now);
@@ -428,9 +428,9 @@
 		.domain_index = domain, .kind = kind, .count = count
 	};
 
-	g_strlcpy(order.service, s->terms.name, sizeof order.service);
+	g_strlcpy(order.service, s->config.name, sizeof order.service);
 	g_strlcpy(
-	    order.domain, s->terms.domains[domain].name, sizeof order.domain);
+	    order.domain, s->config.domains[domain].name, sizeof order.domain);
 	x->orders++;
 	if (!e->source->ops->order_servers(e->source, &order)) {
 		entry_duty_ordered(e, &order, DUTY_CALL_FAILED, e->loop.now);
@@ -482,7 +482,7 @@
 	if (!ok || x->read_back || !duty_is_claim(&x->duty, claim))
 		return;
 	x->read_back = true;
-	capacity_hold(&x->capacity, now, e->settings->order_servers);
+	capacity_set_holder(&x->capacity, now, e->settings->order_servers);
 	notes_read(e, notes, now);
 }
 
@@ -522,10 +522,10 @@
     enum duty_call_result how, msec now)
 {
 	static const enum capacity_result results[] = {
-		[DUTY_CALL_DONE] = CAPACITY_TAKEN,
-		[DUTY_CALL_FENCED] = CAPACITY_UNKNOWN,
-		[DUTY_CALL_NONE] = CAPACITY_NONE,
-		[DUTY_CALL_FAILED] = CAPACITY_UNKNOWN,
+		[DUTY_CALL_DONE] = CAPACITY_ACCEPTED,
+		[DUTY_CALL_FENCED] = CAPACITY_NO_ANSWER,
+		[DUTY_CALL_NONE] = CAPACITY_UNAVAILABLE,
+		[DUTY_CALL_FAILED] = CAPACITY_NO_ANSWER,
 	};
 	struct entry_duty *x = e->duty;
 
@@ -605,22 +605,22 @@
 entry_duty_take_table(struct entry *e, const struct route_table *t)
 {
 	struct entry_duty *x = e->duty;
-	struct capacity_terms *all;
+	struct capacity_config *all;
 	unsigned int i, n = 0;
 
 	if (x == NULL)
 		return;
-	all = g_new(struct capacity_terms, MAX(t->nservices, 1));
+	all = g_new(struct capacity_config, MAX(t->nservices, 1));
 	for (i = 0; i < t->nservices; i++) {
 		if (t->services[i].scaling == NULL)
 			continue;
 		all[n++] = *t->services[i].scaling;
 		if (e->settings->order_servers)
 			place_set_most(&e->place, t->services[i].id,
-			    t->services[i].scaling->most *
+			    t->services[i].scaling->maximum *
 				t->services[i].scaling->ndomains);
 	}
-	capacity_set_terms(&x->capacity, all, n);
+	capacity_set_config(&x->capacity, all, n);
 	g_free(all);
 }
 
@@ -633,12 +633,12 @@
 	struct entry_duty *x = e->duty;
 	struct duty_node *nodes;
 	struct member *m;
-	unsigned int n = 0, most = 1;
+	unsigned int n = 0, maximum = 1;
 
 	RB_FOREACH (m, member_tree, &e->members.tree)
-		most++;
-	nodes = g_new(struct duty_node, most);
-	x->processes = g_renew(struct usage_process, x->processes, most);
+		maximum++;
+	nodes = g_new(struct duty_node, maximum);
+	x->processes = g_renew(struct usage_process, x->processes, maximum);
 	nodes[n] = (struct duty_node){ e->members.self.id,
 		name_hash(e->members.self.domain), e->phase == ENTRY_SERVING,
 		entry_age(e->incarnation) };
@@ -900,22 +900,23 @@
 static void
 dump_service(GString *s, const struct capacity_service *v)
 {
-	const struct capacity_place *p;
+	const struct capacity_pool *p;
 	unsigned int i, k;
 
 	g_string_append_printf(s,
 	    "capacity %s needed %u lasting %u tokens-per-ms %.1f running "
 	    "%.0f\n",
-	    v->terms.name, v->needed, v->lasting, v->tokens_per_ms, v->running);
-	for (i = 0; i < v->terms.ndomains; i++) {
+	    v->config.name, v->needed, v->lasting, v->tokens_per_ms,
+	    v->running);
+	for (i = 0; i < v->config.ndomains; i++) {
 		for (k = 0; k < CAPACITY_KINDS; k++) {
 			p = &v->domains[i].kinds[k];
 			g_string_append_printf(s,
 			    "capacity %s in %s %s ready %u want %u ordered "
 			    "%u\n",
-			    v->terms.name, v->terms.domains[i].name,
+			    v->config.name, v->config.domains[i].name,
 			    k == CAPACITY_LASTING ? "lasting" : "reclaimable",
-			    p->ready, p->want, p->ordered);
+			    p->ready, p->target, p->ordered);
 		}
 	}
 }
--- a/request.c
+++ b/request.c
@@ -8,22 +8,22 @@
 static void request_finish(
     struct request *, msec, enum request_outcome, enum request_code, msec);
 static void request_retry(struct request *, msec, enum request_code);
-static bool request_retry_take(struct request_book *);
+static bool request_retry_take(struct request_shared *);
 
 #define RETRY_COST 1000
 
 void
-request_book_init(struct request_book *b, const struct request_ops *ops)
+request_shared_init(struct request_shared *b, const struct request_ops *ops)
 {
-	*b = (struct request_book){ .ops = ops };
+	*b = (struct request_shared){ .ops = ops };
 	b->retry_credit = REQUEST_RETRY_BURST * RETRY_COST;
 }
 
 void
-request_init(
-    struct request *r, struct request_book *b, bool repeatable, bool resumable)
+request_init(struct request *r, struct request_shared *b, bool repeatable,
+    bool resumable)
 {
-	*r = (struct request){ .book = b,
+	*r = (struct request){ .shared = b,
 		.state = REQUEST_NEW,
 		.repeatable = repeatable,
 		.resumable = resumable };
@@ -44,7 +44,7 @@
 	if (r->state != REQUEST_NEW && r->state != REQUEST_CLAIMING)
 		return;
 	r->state = REQUEST_QUEUED;
-	r->book->ops->submit(r, now);
+	r->shared->ops->submit(r, now);
 }
 
 static void
@@ -56,10 +56,10 @@
 	r->outcome = outcome;
 	r->code = code;
 	r->retry_after = retry_after;
-	r->book->outcomes[outcome]++;
+	r->shared->outcomes[outcome]++;
 	if (outcome != REQUEST_RAN)
-		r->book->wasted_tokens += r->tokens;
-	r->book->ops->finish(r, now);
+		r->shared->wasted_tokens += r->tokens;
+	r->shared->ops->finish(r, now);
 }
 
 void
@@ -101,12 +101,12 @@
 	r->state = REQUEST_DISPATCHED;
 	r->attempt = ++r->attempts;
 	if (r->tokens != 0)
-		r->book->resumed++;
+		r->shared->resumed++;
 	else if (r->maybe_ran) {
 		r->repeats++;
-		r->book->repeated++;
+		r->shared->repeated++;
 	}
-	r->book->ops->start(r, now);
+	r->shared->ops->start(r, now);
 }
 
 void
@@ -121,7 +121,7 @@
 request_first(struct request *r, msec now, unsigned int attempt)
 {
 	if (attempt != r->attempt || r->state != REQUEST_DISPATCHED) {
-		r->book->late++;
+		r->shared->late++;
 		return;
 	}
 	r->maybe_ran = true;
@@ -133,7 +133,7 @@
  * fail under load receive the load again from every entry node and stay down.
  */
 static bool
-request_retry_take(struct request_book *b)
+request_retry_take(struct request_shared *b)
 {
 	if (b->retry_credit < RETRY_COST) {
 		b->retries_denied++;
@@ -152,14 +152,14 @@
 		request_fail(r, now, code, MSEC_SECOND);
 		return;
 	}
-	if (!request_retry_take(r->book)) {
+	if (!request_retry_take(r->shared)) {
 		log_debug("no retry: retry budget exhausted");
 		request_fail(r, now, code, MSEC_SECOND);
 		return;
 	}
 	r->state = REQUEST_QUEUED;
 	r->attempt = 0;
-	r->book->ops->submit(r, now);
+	r->shared->ops->submit(r, now);
 }
 
 /* Handles the end of an attempt that may have executed. */
@@ -192,13 +192,13 @@
 {
 	if (attempt != r->attempt || r->state == REQUEST_DONE) {
 		/* Abandoned earlier; its further tokens are wasted. */
-		r->book->late++;
+		r->shared->late++;
 		if (tokens > r->tokens)
-			r->book->wasted_tokens += tokens - r->tokens;
+			r->shared->wasted_tokens += tokens - r->tokens;
 		return;
 	}
 	r->tokens = tokens;
-	r->book->ops->release(r, now, how);
+	r->shared->ops->release(r, now, how);
 	switch (how) {
 	case ATTEMPT_WHOLE:
 		request_finish(r, now, REQUEST_RAN, REQUEST_CODE_OK, 0);
@@ -218,10 +218,10 @@
     enum request_outcome outcome)
 {
 	if (attempt != r->attempt || r->state == REQUEST_DONE) {
-		r->book->late++;
+		r->shared->late++;
 		return;
 	}
-	r->book->ops->release(r, now, ATTEMPT_WHOLE);
+	r->shared->ops->release(r, now, ATTEMPT_WHOLE);
 	request_finish(r, now, outcome, REQUEST_CODE_OK, 0);
 }
 
@@ -230,7 +230,7 @@
 {
 	if (r->state != REQUEST_STREAMING || !r->resumable || !r->repeatable)
 		return;
-	r->book->ops->stop(r, now);
+	r->shared->ops->stop(r, now);
 }
 
 /* Ends the request in any state. */
@@ -242,13 +242,13 @@
 	case REQUEST_CLAIMING:
 		break;
 	case REQUEST_QUEUED:
-		r->book->ops->withdraw(r, now);
+		r->shared->ops->withdraw(r, now);
 		break;
 	case REQUEST_DISPATCHED:
 	case REQUEST_STREAMING:
 		r->maybe_ran = true;
-		r->book->ops->stop(r, now);
-		r->book->ops->release(r, now, ATTEMPT_BROKEN);
+		r->shared->ops->stop(r, now);
+		r->shared->ops->release(r, now, ATTEMPT_BROKEN);
 		break;
 	case REQUEST_DONE:
 		return;
--- a/request.h
+++ b/request.h
@@ -82,7 +82,7 @@
 };
 
 /* Retry budget and counters of one service, shared by its requests. */
-struct request_book {
+struct request_shared {
 	const struct request_ops *ops;
 	unsigned int retry_credit; /* in 1/1000 of a retry */
 	uint64_t retries;
@@ -96,7 +96,7 @@
 
 /* One request; allocated by the caller of this API. */
 struct request {
-	struct request_book *book;
+	struct request_shared *shared;
 	enum request_state state;
 	bool repeatable;
 	bool resumable;	       /* the backend servers can continue a stream */
@@ -111,9 +111,9 @@
 };
 
 /* Initialise the book of a service, and a request of that service. */
-void request_book_init(struct request_book *, const struct request_ops *);
+void request_shared_init(struct request_shared *, const struct request_ops *);
 void request_init(
-    struct request *, struct request_book *, bool repeatable, bool resumable);
+    struct request *, struct request_shared *, bool repeatable, bool resumable);
 
 /* Waits for the claim of its key, until request_go() or request_fail(). */
 void request_claim(struct request *);
--- a/retry-budget.c
+++ b/retry-budget.c
@@ -8,7 +8,7 @@
 #include <string.h>
 
 /* Factor by which the nodes may grow before this node is notified of it. */
-#define RETRY_NODES_MARGIN 2
+#define RETRY_NODES_GROWTH 2
 /* Part of the fraction that a node uses, in percent. */
 #define RETRY_USED_PERCENT 80
 
@@ -28,7 +28,7 @@
 
 /* Clears the slices that have left the window; returns the current one. */
 static unsigned int
-budget_slide(
+budget_advance(
     struct retry_budget *b, const struct retry_budget_config *c, msec now)
 {
 	msec width = MAX(c->window / (RETRY_SLICES - 1), 1);
@@ -51,7 +51,7 @@
 retry_budget_request(
     struct retry_budget *b, const struct retry_budget_config *c, msec now)
 {
-	b->requests[budget_slide(b, c, now)]++;
+	b->requests[budget_advance(b, c, now)]++;
 }
 
 unsigned int
@@ -61,14 +61,14 @@
 	uint64_t requests = 0, used = 0, allowed;
 	unsigned int i;
 
-	budget_slide(b, c, now);
+	budget_advance(b, c, now);
 	for (i = 0; i < RETRY_SLICES; i++) {
 		requests += b->requests[i];
 		used += b->retries[i];
 	}
 	allowed = requests * c->permille * RETRY_USED_PERCENT / 100000;
 	if (now - b->started >= c->window)
-		allowed += c->fixed / (RETRY_NODES_MARGIN * MAX(nodes, 1));
+		allowed += c->fixed / (RETRY_NODES_GROWTH * MAX(nodes, 1));
 	return allowed > used ? (unsigned int)(allowed - used) : 0;
 }
 
@@ -80,7 +80,7 @@
 		b->denied++;
 		return false;
 	}
-	b->retries[budget_slide(b, c, now)]++;
+	b->retries[budget_advance(b, c, now)]++;
 	b->taken++;
 	return true;
 }
--- a/route.h
+++ b/route.h
@@ -41,7 +41,8 @@
 	unsigned int priority; /* 0 is highest */
 	bool anonymous;	       /* needs no key */
 	bool resumable;	       /* streams: another server can continue one */
-	bool prompts; /* its requests list the parts of their prompts */
+	bool
+	    has_prompt_parts; /* its requests list the parts of their prompts */
 	unsigned int nsplits;
 	struct route_split splits[ROUTE_SPLITS_MAX];
 };
@@ -54,7 +55,7 @@
 	unsigned int slots;	       /* of one server; 0: not set */
 	uint64_t memory_tokens;	       /* of one server; 0: not a model */
 	unsigned int tokens_per_event; /* 0: not set */
-	struct capacity_terms *scaling; /* NULL: no scaling */
+	struct capacity_config *scaling; /* NULL: no scaling */
 };
 
 /* An organisation that may send requests. */
--- a/savorypierd.c
+++ b/savorypierd.c
@@ -91,7 +91,7 @@
 	TAILQ_INIT(&d->calls);
 	d->metrics = g_new0(struct metrics, 1);
 	metrics_init(d->metrics);
-	request_book_init(&d->book, &daemon_request_ops);
+	request_shared_init(&d->book, &daemon_request_ops);
 	if (!ring_init(&d->events, DAEMON_RING_SIZE) ||
 	    !ring_init(&d->log_events, DAEMON_RING_SIZE))
 		return false;
--- a/tests/test-capacity.c
+++ b/tests/test-capacity.c
@@ -95,28 +95,29 @@
 			domain, count, kind };
 		g_queue_push_tail(&w->late, late);
 		capacity_ordered(
-		    c, w->now, s->id, domain, kind, count, CAPACITY_UNKNOWN);
+		    c, w->now, s->id, domain, kind, count, CAPACITY_NO_ANSWER);
 		return;
 	}
 	if (w->now < site->none_until && count > site->ready) {
-		capacity_ordered(
-		    c, w->now, s->id, domain, kind, count, CAPACITY_NONE);
+		capacity_ordered(c, w->now, s->id, domain, kind, count,
+		    CAPACITY_UNAVAILABLE);
 		return;
 	}
 	w->changed += (unsigned int)abs(
 	    (int)count - (int)(site->ready + site_booting(site)));
 	site_set(site, count);
-	capacity_ordered(c, w->now, s->id, domain, kind, count, CAPACITY_TAKEN);
+	capacity_ordered(
+	    c, w->now, s->id, domain, kind, count, CAPACITY_ACCEPTED);
 }
 
 static const struct capacity_ops ops = { op_order };
 
 static void
-world_terms(struct world *w, double price, unsigned int most)
+world_terms(struct world *w, double price, unsigned int maximum)
 {
-	struct capacity_terms t = { .name = "model",
-		.least = 1,
-		.most = most,
+	struct capacity_config t = { .name = "model",
+		.minimum = 1,
+		.maximum = maximum,
 		.boot = BOOT,
 		.reclaimable_price = price,
 		.ndomains = DOMAINS };
@@ -127,7 +128,7 @@
 		    sizeof t.domains[i].name);
 		t.domains[i].price = 1.0 + 0.1 * i;
 	}
-	capacity_set_terms(&w->c, &t, 1);
+	capacity_set_config(&w->c, &t, 1);
 }
 
 static void
@@ -142,7 +143,7 @@
 	world_terms(w, price, MOST);
 	for (i = 0; i < DOMAINS; i++)
 		w->sites[i][CAPACITY_LASTING].ready = lasting;
-	capacity_hold(&w->c, w->now, true);
+	capacity_set_holder(&w->c, w->now, true);
 }
 
 static void
@@ -232,14 +233,15 @@
     struct world *w, msec span, double tokens_per_ms, unsigned int running)
 {
 	msec end = w->now + span;
-	unsigned int least = UINT_MAX;
+	unsigned int minimum = UINT_MAX;
 
 	while (w->now < end) {
 		world_step(w, tokens_per_ms, running);
-		least = MIN(least, world_ready(w, CAPACITY_LASTING) +
-				       world_ready(w, CAPACITY_RECLAIMABLE));
+		minimum =
+		    MIN(minimum, world_ready(w, CAPACITY_LASTING) +
+				     world_ready(w, CAPACITY_RECLAIMABLE));
 	}
-	return least;
+	return minimum;
 }
 
 /* Guards against a fleet that shrinks while lasting servers are replaced. */
@@ -281,7 +283,7 @@
 	world_init(&w, 300, PRICE);
 	w.visible = UINT_MAX;
 	world_terms(&w, PRICE, 1000);
-	capacity_hold(&w.c, w.now, true);
+	capacity_set_holder(&w.c, w.now, true);
 	for (i = 0; i < 120; i++) {
 		before = w.changed;
 		g_assert_cmpuint(world_run(&w, 1000, 0, 0), >=, 900);
@@ -303,7 +305,7 @@
 	world_init(&w, 300, PRICE);
 	world_terms(&w, PRICE, 1000);
 	w.c.nodes = 300;
-	w.c.services[0].held = 900;
+	w.c.services[0].previous_needed = 900;
 	w.reading = true;
 	for (w.visible = 0; w.visible < 250; w.visible += 10)
 		g_assert_cmpuint(world_run(&w, 300, 1400, 200), >=, 900);
@@ -389,7 +391,7 @@
 	for (i = 0; i < DOMAINS; i++) {
 		for (k = 0; k < CAPACITY_KINDS; k++)
 			g_assert_cmpuint(w.sites[i][k].ready, ==,
-			    w.c.services[0].domains[i].kinds[k].want);
+			    w.c.services[0].domains[i].kinds[k].target);
 	}
 	world_finish(&w);
 }
@@ -465,8 +467,8 @@
 	world_run(&w, 60000, 1400, 200);
 	n = w.c.services[0].needed;
 	w.sites[0][CAPACITY_RECLAIMABLE].ready = 0;
-	capacity_hold(&w.c, w.now, true);
-	w.c.services[0].held = n;
+	capacity_set_holder(&w.c, w.now, true);
+	w.c.services[0].previous_needed = n;
 	world_run(&w, 10000, 1400, 200);
 	g_assert_cmpuint(w.c.services[0].needed, ==, n);
 	g_assert_cmpuint(world_ready(&w, CAPACITY_RECLAIMABLE), >=, n - 4);
--- a/tests/test-dispatch-faults.c
+++ b/tests/test-dispatch-faults.c
@@ -75,11 +75,11 @@
 		g_hash_table_iter_init(&it, p->engines);
 		while (g_hash_table_iter_next(&it, NULL, (gpointer *)&e)) {
 			g_assert_cmpuint(e->nrunning, ==, 0);
-			if (e->own == NULL)
+			if (e->owner_state == NULL)
 				continue;
-			g_assert_true(RB_EMPTY(&e->own->tree));
-			g_assert_cmpuint(e->own->running, ==, 0);
-			g_assert_cmpuint(e->own->queue.count, ==, 0);
+			g_assert_true(RB_EMPTY(&e->owner_state->tree));
+			g_assert_cmpuint(e->owner_state->running, ==, 0);
+			g_assert_cmpuint(e->owner_state->queue.count, ==, 0);
 		}
 	}
 }
@@ -364,17 +364,17 @@
 	struct reservation *res;
 	unsigned int running = 0, queued = 0;
 
-	if (e->own == NULL)
+	if (e->owner_state == NULL)
 		return;
-	g_assert_cmpuint(e->own->queue.count, <=, QUEUE_MAX);
+	g_assert_cmpuint(e->owner_state->queue.count, <=, QUEUE_MAX);
 	if (w->nevents % 1000 != 0)
 		return;
-	RB_FOREACH (res, reservation_tree, &e->own->tree) {
+	RB_FOREACH (res, reservation_tree, &e->owner_state->tree) {
 		running += res->state == RESERVATION_GRANTED;
 		queued += res->state == RESERVATION_QUEUED;
 	}
-	g_assert_cmpuint(running, ==, e->own->running);
-	g_assert_cmpuint(queued, ==, e->own->queue.count);
+	g_assert_cmpuint(running, ==, e->owner_state->running);
+	g_assert_cmpuint(queued, ==, e->owner_state->queue.count);
 }
 
 static void
@@ -523,12 +523,12 @@
 	struct slots s;
 
 	slots_init(&s, 8, 0);
-	slots_stalled(&s, 1000, 1, 1);
+	slots_record_stalled(&s, 1000, 1, 1);
 	g_assert_cmpuint(slots_limit(&s), ==, 8);
-	slots_stalled(&s, 2000, 3, 3);
+	slots_record_stalled(&s, 2000, 3, 3);
 	g_assert_cmpuint(slots_limit(&s), ==, 8);
 	/* One stream progresses, so the others are queued in the engine. */
-	slots_stalled(&s, 3000, 4, 3);
+	slots_record_stalled(&s, 3000, 4, 3);
 	g_assert_cmpuint(slots_limit(&s), ==, 1);
 }
 
--- a/tests/test-request.c
+++ b/tests/test-request.c
@@ -102,7 +102,7 @@
 
 static void
 probe_init(
-    struct probe *p, struct request_book *b, bool repeatable, bool resumable)
+    struct probe *p, struct request_shared *b, bool repeatable, bool resumable)
 {
 	memset(p, 0, sizeof *p);
 	request_init(&p->request, b, repeatable, resumable);
@@ -134,10 +134,10 @@
 static void
 test_whole(void)
 {
-	struct request_book b;
+	struct request_shared b;
 	struct probe p;
 
-	request_book_init(&b, &probe_ops);
+	request_shared_init(&b, &probe_ops);
 	probe_init(&p, &b, true, true);
 	request_go(&p.request, 0);
 	probe_grant(&p);
@@ -153,10 +153,10 @@
 static void
 test_booking_read_then_closed(void)
 {
-	struct request_book b;
+	struct request_shared b;
 	struct probe p;
 
-	request_book_init(&b, &probe_ops);
+	request_shared_init(&b, &probe_ops);
 	probe_init(&p, &b, false, false);
 	request_go(&p.request, 0);
 	probe_grant(&p);
@@ -173,10 +173,10 @@
 static void
 test_booking_refused(void)
 {
-	struct request_book b;
+	struct request_shared b;
 	struct probe p;
 
-	request_book_init(&b, &probe_ops);
+	request_shared_init(&b, &probe_ops);
 	probe_init(&p, &b, false, false);
 	request_go(&p.request, 0);
 	while (p.finishes == 0) {
@@ -194,10 +194,10 @@
 static void
 test_crash_mid_answer(void)
 {
-	struct request_book b;
+	struct request_shared b;
 	struct probe p;
 
-	request_book_init(&b, &probe_ops);
+	request_shared_init(&b, &probe_ops);
 	probe_init(&p, &b, true, true);
 	request_go(&p.request, 0);
 	probe_grant(&p);
@@ -218,10 +218,10 @@
 static void
 test_crash_not_resumable(void)
 {
-	struct request_book b;
+	struct request_shared b;
 	struct probe p;
 
-	request_book_init(&b, &probe_ops);
+	request_shared_init(&b, &probe_ops);
 	probe_init(&p, &b, true, false);
 	request_go(&p.request, 0);
 	probe_grant(&p);
@@ -238,11 +238,11 @@
 static void
 test_retry_budget(void)
 {
-	struct request_book b;
+	struct request_shared b;
 	struct probe p;
 	unsigned int i, n = 2000;
 
-	request_book_init(&b, &probe_ops);
+	request_shared_init(&b, &probe_ops);
 	for (i = 0; i < n; i++) {
 		probe_init(&p, &b, true, true);
 		request_go(&p.request, 0);
@@ -263,10 +263,10 @@
 static void
 test_late_end(void)
 {
-	struct request_book b;
+	struct request_shared b;
 	struct probe p;
 
-	request_book_init(&b, &probe_ops);
+	request_shared_init(&b, &probe_ops);
 	probe_init(&p, &b, true, true);
 	request_go(&p.request, 0);
 	probe_grant(&p);
@@ -349,12 +349,12 @@
 test_random(void)
 {
 	GRand *rng = g_rand_new_with_seed(RANDOM_SEED);
-	struct request_book b;
+	struct request_shared b;
 	struct probe p;
 	unsigned int i, done = 0;
 
 	g_test_message("seed %u", RANDOM_SEED);
-	request_book_init(&b, &probe_ops);
+	request_shared_init(&b, &probe_ops);
 	probe_init(&p, &b, true, true);
 	for (i = 0; i < RANDOM_EVENTS; i++) {
 		probe_step(&p, rng);
--- a/tests/test-usage.c
+++ b/tests/test-usage.c
@@ -356,7 +356,7 @@
 		node_start(&w, i);
 	g_hash_table_iter_init(&it, sum);
 	while (g_hash_table_iter_next(&it, &o, &n))
-		usage_base(&w.nodes[0].usage, w.first + 1,
+		usage_set_previous_count(&w.nodes[0].usage, w.first + 1,
 		    world_true(&w) - 1000, *(name_id *)o, GPOINTER_TO_UINT(n));
 	g_hash_table_unref(sum);
 	world_run_to(&w, 1500, 20);
@@ -379,7 +379,7 @@
 	world_run_to(&w, 1500, 20);
 	g_assert_cmpfloat(world_off(&w, 0, 1), <=, 0.05);
 	g_assert_cmpfloat(world_off(&w, 0, 2), <=, 0.05);
-	g_assert_cmpuint(w.nodes[0].usage.counters.set, ==, 0);
+	g_assert_cmpuint(w.nodes[0].usage.counters.corrections, ==, 0);
 	world_finish(&w);
 }
 
--- a/usage.c
+++ b/usage.c
@@ -9,22 +9,22 @@
 #include <string.h>
 
 /* Interval at which changed counts are sent. */
-#define USAGE_TELL_MS 500
+#define USAGE_SEND_MS 500
 /* Times that all counts of an ended window are sent, as datagrams get lost. */
-#define USAGE_LAST_TIMES 3
+#define USAGE_FINAL_SENDS 3
 /* Change of the wall clock in one tick that counts as a jump. */
 #define USAGE_JUMP_MS 100
 /* Minimum clock difference that is corrected. */
-#define USAGE_APART_MS 150
+#define USAGE_CLOCK_TOLERANCE_MS 150
 /* Time for which a received clock reading is used. */
-#define USAGE_CLOCK_MS (10 * MSEC_SECOND)
+#define USAGE_CLOCK_TTL_MS (10 * MSEC_SECOND)
 /* Minimum number of other clocks for a correction. */
-#define USAGE_CLOCKS_LEAST 3
+#define USAGE_CLOCKS_MIN 3
 /* Maximum plausible count of a process in a window. */
 #define USAGE_COUNT_MAX 10000000
 
 /* Counts of a window received from one process. */
-struct usage_told {
+struct usage_received {
 	name_id node;
 	uint64_t incarnation;
 	bool last;	    /* the window had ended when it sent them */
@@ -34,9 +34,9 @@
 };
 
 static void
-told_free(void *p)
+received_free(void *p)
 {
-	struct usage_told *t = p;
+	struct usage_received *t = p;
 
 	g_hash_table_unref(t->counts);
 	g_free(t);
@@ -70,7 +70,7 @@
 		g_hash_table_unref(w->own);
 		g_hash_table_unref(w->dirty);
 		g_hash_table_unref(w->nodes);
-		g_hash_table_unref(w->base);
+		g_hash_table_unref(w->previous_counts);
 	}
 	*w = (struct usage_window){ 0 };
 }
@@ -83,8 +83,8 @@
 	w->number = number;
 	w->own = table_new(NULL);
 	w->dirty = table_new(NULL);
-	w->nodes = table_new(told_free);
-	w->base = table_new(NULL);
+	w->nodes = table_new(received_free);
+	w->previous_counts = table_new(NULL);
 }
 
 static uint64_t
@@ -116,7 +116,7 @@
 {
 	*u = (struct usage){ .ops = ops,
 		.window = window,
-		.raw = wall - now,
+		.raw_offset = wall - now,
 		.offset = wall - now };
 	u->clocks = table_new(g_free);
 	if (window <= 0)
@@ -190,14 +190,14 @@
 }
 
 static void
-window_tell(struct usage *u, msec now, struct usage_window *w,
+window_send(struct usage *u, msec now, struct usage_window *w,
     GHashTable *which, name_id to, bool last)
 {
 	sp_msg msg = { .kind = SP_USAGE_COUNTS };
 	sp_usage_counts *m = &msg.sp_msg_u.usage_counts;
 
 	m->window = w->number;
-	m->wall_ms = (uint64_t)(now + u->raw);
+	m->wall_ms = (uint64_t)(now + u->raw_offset);
 	m->last = last;
 	m->total = w->total;
 	counts_send(u, to, &msg, which, w->own);
@@ -208,7 +208,7 @@
  * sent theirs only to the previous keepers.
  */
 static void
-usage_pass_on(struct usage *u, msec now, name_id to)
+usage_forward(struct usage *u, msec now, name_id to)
 {
 	sp_msg msg = { .kind = SP_USAGE_COUNTS };
 	sp_usage_counts *m = &msg.sp_msg_u.usage_counts;
@@ -217,14 +217,14 @@
 	gpointer value;
 	unsigned int i;
 
-	m->wall_ms = (uint64_t)(now + u->raw);
+	m->wall_ms = (uint64_t)(now + u->raw_offset);
 	for (i = 0; i < u->nwindows; i++) {
 		w = &u->windows[i];
 		if (!w->used || w->decided)
 			continue;
 		g_hash_table_iter_init(&it, w->nodes);
 		while (g_hash_table_iter_next(&it, NULL, &value)) {
-			const struct usage_told *t = value;
+			const struct usage_received *t = value;
 
 			m->node = t->node;
 			m->incarnation = t->incarnation;
@@ -237,7 +237,7 @@
 }
 
 static void
-usage_tell(struct usage *u, msec now)
+usage_send_counts(struct usage *u, msec now)
 {
 	uint64_t current = usage_number(u, now);
 	struct usage_window *w;
@@ -249,16 +249,16 @@
 		if (!w->used || w->number > current)
 			continue;
 		last = w->number < current;
-		if (last ? w->told_last == USAGE_LAST_TIMES
+		if (last ? w->final_sends == USAGE_FINAL_SENDS
 			 : g_hash_table_size(w->dirty) == 0)
 			continue;
 		for (j = 0; j < u->nkeepers; j++)
-			window_tell(u, now, w, last ? w->own : w->dirty,
+			window_send(u, now, w, last ? w->own : w->dirty,
 			    u->keepers[j], last);
 		if (u->nkeepers == 0)
 			continue;
 		g_hash_table_remove_all(w->dirty);
-		w->told_last += last;
+		w->final_sends += last;
 	}
 }
 
@@ -288,14 +288,14 @@
 		return;
 	for (i = 0; i < n; i++) {
 		if (!usage_has_keeper(u, keepers[i]))
-			usage_pass_on(u, now, keepers[i]);
+			usage_forward(u, now, keepers[i]);
 	}
 	memcpy(u->keepers, keepers, n * sizeof *keepers);
 	u->nkeepers = n;
 	for (i = 0; i < u->nwindows; i++) {
 		if (!u->windows[i].used)
 			continue;
-		u->windows[i].told_last = 0;
+		u->windows[i].final_sends = 0;
 		g_hash_table_iter_init(&it, u->windows[i].own);
 		while (g_hash_table_iter_next(&it, &key, NULL))
 			table_set(u->windows[i].dirty, *(name_id *)key, 1);
@@ -304,7 +304,7 @@
 
 /* Opens the window even without requests, so that a zero total is sent. */
 static void
-usage_open(struct usage *u, msec now)
+usage_open_window(struct usage *u, msec now)
 {
 	usage_window(u, now, usage_number(u, now));
 }
@@ -323,7 +323,7 @@
 static msec
 usage_median(struct usage *u, msec now, unsigned int *n)
 {
-	struct usage_clock_seen *seen;
+	struct usage_clock_reading *seen;
 	GHashTableIter i;
 	gpointer value;
 	msec *all, median;
@@ -334,7 +334,7 @@
 	g_hash_table_iter_init(&i, u->clocks);
 	while (g_hash_table_iter_next(&i, NULL, &value)) {
 		seen = value;
-		if (now - seen->at > USAGE_CLOCK_MS)
+		if (now - seen->at > USAGE_CLOCK_TTL_MS)
 			g_hash_table_iter_remove(&i);
 		else
 			all[(*n)++] = seen->ahead;
@@ -348,17 +348,17 @@
 static void
 usage_set_time(struct usage *u, msec offset)
 {
-	if (llabs(offset - u->offset) < USAGE_APART_MS)
+	if (llabs(offset - u->offset) < USAGE_CLOCK_TOLERANCE_MS)
 		return;
 	log_info("time was off by %" G_GINT64_FORMAT " ms, corrected",
 	    u->offset - offset);
 	u->offset = offset;
-	u->counters.set++;
+	u->counters.corrections++;
 }
 
 /* A keeper, which receives many clocks, corrects those that differ. */
 static void
-usage_agree(struct usage *u, msec now)
+usage_synchronise(struct usage *u, msec now)
 {
 	sp_msg msg = { .kind = SP_USAGE_TIME };
 	GHashTableIter i;
@@ -367,66 +367,67 @@
 	msec median;
 
 	median = usage_median(u, now, &n);
-	if (n <= USAGE_CLOCKS_LEAST)
+	if (n <= USAGE_CLOCKS_MIN)
 		return;
-	usage_set_time(u, u->raw + median);
+	usage_set_time(u, u->raw_offset + median);
 	if (median == 0)
 		return;
 	msg.sp_msg_u.usage_time.wall_ms = (uint64_t)usage_true(u, now);
 	g_hash_table_iter_init(&i, u->clocks);
 	while (g_hash_table_iter_next(&i, &key, NULL)) {
-		struct usage_clock_seen *seen =
+		struct usage_clock_reading *seen =
 		    g_hash_table_lookup(u->clocks, key);
 
-		if (llabs(seen->ahead - median) >= USAGE_APART_MS)
+		if (llabs(seen->ahead - median) >= USAGE_CLOCK_TOLERANCE_MS)
 			u->ops->send(u, *(name_id *)key, &msg);
 	}
 }
 
 /* Sends the time to a node whose clock is off, also if the local is right. */
 static void
-usage_correct(struct usage *u, msec now, name_id node, msec ahead)
+usage_send_time(struct usage *u, msec now, name_id node, msec ahead)
 {
 	sp_msg msg = { .kind = SP_USAGE_TIME };
 	unsigned int n;
 	msec median = usage_median(u, now, &n);
 
-	if (n <= USAGE_CLOCKS_LEAST || llabs(ahead - median) < USAGE_APART_MS)
+	if (n <= USAGE_CLOCKS_MIN ||
+	    llabs(ahead - median) < USAGE_CLOCK_TOLERANCE_MS)
 		return;
 	msg.sp_msg_u.usage_time.wall_ms = (uint64_t)usage_true(u, now);
 	u->ops->send(u, node, &msg);
 }
 
 static void
-usage_note_clock(struct usage *u, msec now, name_id node, msec wall)
+usage_record_clock(struct usage *u, msec now, name_id node, msec wall)
 {
-	struct usage_clock_seen *seen = g_new(struct usage_clock_seen, 1);
+	struct usage_clock_reading *seen = g_new(struct usage_clock_reading, 1);
 
-	*seen = (struct usage_clock_seen){ now, wall - now - u->raw };
+	*seen = (struct usage_clock_reading){ now, wall - now - u->raw_offset };
 	g_hash_table_insert(u->clocks, g_memdup2(&node, sizeof node), seen);
-	usage_correct(u, now, node, seen->ahead);
+	usage_send_time(u, now, node, seen->ahead);
 }
 
 msec
 usage_tick(struct usage *u, msec now, msec wall)
 {
-	msec raw = wall - now;
+	msec raw_offset = wall - now;
 
 	/* After a jump of the wall clock, follow the monotonic clock. */
-	if (llabs(raw - u->raw) > USAGE_JUMP_MS) {
-		u->counters.jumps += raw != u->jumped;
-		u->jumped = raw;
+	if (llabs(raw_offset - u->raw_offset) > USAGE_JUMP_MS) {
+		u->counters.jumps += raw_offset != u->jumped_offset;
+		u->jumped_offset = raw_offset;
 	} else {
-		u->offset += raw - u->raw;
-		u->raw = raw;
+		u->offset += raw_offset - u->raw_offset;
+		u->raw_offset = raw_offset;
 	}
-	usage_open(u, now);
-	if (now >= u->next_tell) {
-		u->next_tell = now + USAGE_TELL_MS;
-		usage_agree(u, now);
-		usage_tell(u, now);
+	usage_open_window(u, now);
+	if (now >= u->next_send_at) {
+		u->next_send_at = now + USAGE_SEND_MS;
+		usage_synchronise(u, now);
+		usage_send_counts(u, now);
 	}
-	return u->next_tell;
+	return u->next_send_at;
 }
 
 /* ---- as a keeper ---- */
@@ -443,15 +444,15 @@
 	return m->total <= USAGE_COUNT_MAX;
 }
 
-static struct usage_told *
-window_told(struct usage_window *w, name_id node, uint64_t incarnation)
+static struct usage_received *
+window_received(struct usage_window *w, name_id node, uint64_t incarnation)
 {
 	uint64_t key = node ^ (incarnation * 0x9e3779b97f4a7c15ULL);
-	struct usage_told *t = g_hash_table_lookup(w->nodes, &key);
+	struct usage_received *t = g_hash_table_lookup(w->nodes, &key);
 
 	if (t != NULL)
 		return t;
-	t = g_new0(struct usage_told, 1);
+	t = g_new0(struct usage_received, 1);
 	t->node = node;
 	t->incarnation = incarnation;
 	t->counts = table_new(NULL);
@@ -460,15 +461,15 @@
 }
 
 static void
-usage_take_counts(struct usage *u, msec now, name_id from, uint64_t incarnation,
-    const sp_usage_counts *m)
+usage_receive_counts(struct usage *u, msec now, name_id from,
+    uint64_t incarnation, const sp_usage_counts *m)
 {
 	struct usage_window *w;
-	struct usage_told *t;
+	struct usage_received *t;
 	unsigned int had;
 	u_int i;
 
-	usage_note_clock(u, now, from, (msec)m->wall_ms);
+	usage_record_clock(u, now, from, (msec)m->wall_ms);
 	if (m->node != 0) {
 		from = m->node;
 		incarnation = m->incarnation;
@@ -480,7 +481,7 @@
 		u->counters.dropped++;
 		return;
 	}
-	t = window_told(w, from, incarnation);
+	t = window_received(w, from, incarnation);
 	t->last = t->last || m->last;
 	t->total = MAX(t->total, m->total);
 	for (i = 0; i < m->list.list_len; i++) {
@@ -499,7 +500,7 @@
     const sp_msg *msg)
 {
 	if (msg->kind == SP_USAGE_COUNTS)
-		usage_take_counts(
+		usage_receive_counts(
 		    u, now, from, incarnation, &msg->sp_msg_u.usage_counts);
 	else if (msg->kind == SP_USAGE_TIME)
 		usage_set_time(u, (msec)msg->sp_msg_u.usage_time.wall_ms - now);
@@ -511,11 +512,11 @@
 window_is_whole(
     struct usage_window *w, const struct usage_process *p, unsigned int n)
 {
-	struct usage_told *t;
+	struct usage_received *t;
 	unsigned int i;
 
 	for (i = 0; i < n; i++) {
-		t = window_told(w, p[i].node, p[i].incarnation);
+		t = window_received(w, p[i].node, p[i].incarnation);
 		if (!t->last || t->sum < t->total)
 			return false;
 	}
@@ -562,11 +563,12 @@
 		goto out;
 	g_hash_table_iter_init(&i, w->nodes);
 	while (g_hash_table_iter_next(&i, NULL, &value)) {
-		struct usage_told *t = value;
-		GHashTable *to = w->base_at != 0 && (msec)(t->incarnation /
-							   1000) > w->base_at
-				     ? late
-				     : sum;
+		struct usage_received *t = value;
+		GHashTable *to =
+		    w->previous_at != 0 &&
+			    (msec)(t->incarnation / 1000) > w->previous_at
+			? late
+			: sum;
 
 		g_hash_table_iter_init(&j, t->counts);
 		while (g_hash_table_iter_next(&j, &org, &count))
@@ -574,7 +576,7 @@
 			    table_get(to, *(name_id *)org) +
 				GPOINTER_TO_UINT(count));
 	}
-	g_hash_table_iter_init(&j, w->base);
+	g_hash_table_iter_init(&j, w->previous_counts);
 	while (g_hash_table_iter_next(&j, &org, &count))
 		table_set(sum, *(name_id *)org,
 		    MAX(table_get(sum, *(name_id *)org),
@@ -601,8 +603,8 @@
 }
 
 void
-usage_base(struct usage *u, uint64_t number, msec wall, name_id organisation,
-    unsigned int count)
+usage_set_previous_count(struct usage *u, uint64_t number, msec wall,
+    name_id organisation, unsigned int count)
 {
 	struct usage_window *w = &u->windows[number % u->nwindows];
 
@@ -610,6 +612,6 @@
 		return;
 	if (!w->used || w->number < number)
 		window_begin(w, number);
-	w->base_at = wall;
-	table_set(w->base, organisation, count);
+	w->previous_at = wall;
+	table_set(w->previous_counts, organisation, count);
 }
--- a/usage.h
+++ b/usage.h
@@ -40,17 +40,17 @@
 	GHashTable *dirty; /* organisations with unsent counts */
 	unsigned int total;
 	unsigned int
-	    told_last; /* times that all counts were sent after its end */
+	    final_sends; /* times that all counts were sent after its end */
 	/* As a keeper: counts received from each process. */
 	GHashTable *nodes;
 	/* Counts recorded by a previous holder, and when in true time. */
-	GHashTable *base;
-	msec base_at;
+	GHashTable *previous_counts;
+	msec previous_at;
 	bool decided; /* its final counts are fixed */
 };
 
 /* Difference of another node's wall clock from the local one. */
-struct usage_clock_seen {
+struct usage_clock_reading {
 	msec at;
 	msec ahead;
 };
@@ -60,7 +60,7 @@
 	uint64_t
 	    dropped;	/* messages with implausible counts or an old window */
 	uint64_t jumps; /* of the local wall clock */
-	uint64_t set;	/* corrections of the true time */
+	uint64_t corrections; /* corrections of the true time */
 };
 
 /* State of one node; the caller allocates it. */
@@ -68,14 +68,14 @@
 	const struct usage_ops *ops;
 	msec window;
 	/* Wall clock minus monotonic clock: without jumps, and as corrected. */
-	msec raw, offset;
-	msec jumped;	    /* wall clock minus monotonic clock since a jump */
-	GHashTable *clocks; /* node to struct usage_clock_seen */
+	msec raw_offset, offset;
+	msec jumped_offset; /* wall clock minus monotonic clock since a jump */
+	GHashTable *clocks; /* node to struct usage_clock_reading */
 	unsigned int nwindows; /* kept, including the current one */
 	struct usage_window *windows;
 	name_id keepers[USAGE_KEEPERS_MAX];
 	unsigned int nkeepers;
-	msec next_tell; /* when to send counts next */
+	msec next_send_at; /* when to send counts next */
 	struct usage_counters counters;
 	void *arg; /* for the callbacks */
 };
@@ -117,7 +117,7 @@
 /* Marks a window as decided, by this holder or a previous one. */
 void usage_decided(struct usage *, uint64_t number);
 /* Sets the count that a previous holder recorded at `wall` in true time. */
-void usage_base(struct usage *, uint64_t number, msec wall,
+void usage_set_previous_count(struct usage *, uint64_t number, msec wall,
     name_id organisation, unsigned int count);
 
 #endif /* USAGE_H */
