--- a/capacity.c
+++ b/capacity.c
@@ -15,14 +15,17 @@
  * a server miss their gap targets while it processes a prompt.
  */
 #define CAPACITY_PREFILL_PERCENT 40.0
-/* Maximum part; above it requests are late or refused, so servers of any price
- * are ordered. */
+/*
+ * Maximum part; above it requests are late or refused, so servers of any price
+ * are ordered.
+ */
 #define CAPACITY_PREFILL_MAX_PERCENT 90.0
 /* Target number of streams per server at the peak. */
 #define CAPACITY_STREAMS_PER_SERVER 16.0
 /* Time after which a report is ignored; without any, no scaling down. */
 #define CAPACITY_REPORT_TTL_MS 3000
-/* Time without new lasting servers after which a new holder's count is final.
+/*
+ * Time without new lasting servers after which a new holder's count is final.
  */
 #define CAPACITY_SETTLE_MS 700
 /* Steps down: interval, and part of the needed servers removed by each. */
--- a/capacity.h
+++ b/capacity.h
@@ -47,8 +47,8 @@
 	char name[NAME_SIZE];
 	unsigned int minimum, maximum; /* servers of both kinds, per domain */
 	msec boot;		       /* from the order until it is ready */
-	double reclaimable_price;      /* relative to a lasting one's; 0: not
-					  available */
+	/* Price of a reclaimable server relative to a lasting one; 0: none. */
+	double reclaimable_price;
 	unsigned int ndomains;
 	struct capacity_domain_config domains[CAPACITY_DOMAINS_MAX];
 };
@@ -56,9 +56,9 @@
 /* Limits from the settings. */
 struct capacity_limits {
 	unsigned int lasting_percent; /* minimum part of the servers needed */
-	unsigned int reclaimable_percent; /* part of the planned reclaimable
-					     servers that is ordered */
-	unsigned int spare_percent;	  /* added for bursts */
+	/* Part of the planned reclaimable servers that is ordered. */
+	unsigned int reclaimable_percent;
+	unsigned int spare_percent; /* added for bursts */
 };
 
 /* A service's servers of one kind in one domain. */
@@ -94,9 +94,13 @@
 	msec reported_at;      /* time of the newest report */
 	/* Inputs and results of the last decision. */
 	double tokens_per_ms, urgent_part, running;
-	unsigned int needed, lasting, previous_needed;
-	/* Servers present when this node became duty holder, in all and by
-	 * kind. */
+	unsigned int needed, lasting;
+	/* `needed` as recorded by the previous duty holder; 0: none. */
+	unsigned int previous_needed;
+	/*
+	 * Servers present when this node became duty holder, in all and by
+	 * kind.
+	 */
 	unsigned int found_total, found_lasting, found_reclaimable;
 	msec found_at;
 	msec next_down, next_replace;
--- a/dispatch-choose.c
+++ b/dispatch-choose.c
@@ -105,8 +105,10 @@
 			continue;
 		w = engine_weight(now, st, e);
 		sum += w;
-		/* Weighted reservoir sampling: keeps e with probability w /
-		 * sum. */
+		/*
+		 * Weighted reservoir sampling: keeps e with probability w /
+		 * sum.
+		 */
 		if (best == NULL || g_rand_double(d->priv->rand) * sum < w)
 			best = e;
 	}
--- a/dispatch-entry.c
+++ b/dispatch-entry.c
@@ -17,7 +17,8 @@
 /* Time without a grant before one or two owners are added; doubles. */
 #define WIDEN_NORMAL (1 * MSEC_SECOND)
 #define WIDEN_PROTECTED 200
-/* Interval in ms before a reservation is sent again; doubles up to the maximum.
+/*
+ * Interval in ms before a reservation is sent again; doubles up to the maximum.
  */
 #define RESEND_MIN 300
 #define RESEND_MAX 4800
@@ -37,8 +38,10 @@
 #define SLACK_RESERVE 0.15
 /* Maximum retry delay reported to a refused caller. */
 #define RETRY_DELAY_MAX (30 * MSEC_SECOND)
-/* Maximum wait in ms once the target has passed: long enough to send a lost
- * reservation again. */
+/*
+ * Maximum wait in ms once the target has passed: long enough to send a lost
+ * reservation again.
+ */
 #define LATE_WAIT_MAX 500
 /* Time within which a broken stream should continue. */
 #define RESUME_WAIT_MAX (2 * MSEC_SECOND)
--- a/dispatch-private.h
+++ b/dispatch-private.h
@@ -104,7 +104,7 @@
 
 /* A request at the owner of an engine, queued or running. */
 struct reservation {
-	RB_ENTRY(reservation) entry; /* in owned.tree, by node and id */
+	RB_ENTRY(reservation) entry; /* in owner_state.tree, by node and id */
 	RB_ENTRY(reservation) queue_entry;
 	name_id node;
 	uint64_t incarnation;
@@ -135,7 +135,7 @@
 	name_id id;
 	unsigned int weight;
 	unsigned int count;
-	double virtual_time; /* virtual time: cost divided by weight */
+	double virtual_time; /* granted cost divided by weight */
 	struct queue_tree tree;
 };
 
@@ -144,9 +144,9 @@
 	unsigned int count;
 	unsigned int tier;
 	bool is_protected;
-	unsigned int grants_since_late; /* grants since the last late one */
+	unsigned int grants_since_late;
 	unsigned int floor_permille;
-	double virtual_time; /* virtual time of the last grant */
+	double virtual_time; /* of the last grant */
 	double floor_credit; /* cost due to the class for its floor share */
 	double cost;	     /* decaying maximum of its requests' cost */
 	double granted;	     /* cost granted, decaying over some seconds */
@@ -183,12 +183,14 @@
 	double limit;
 	bool slow_start;
 	msec decreased; /* time of the last decrease */
-	double
-	    best_limit; /* slowly decaying maximum of limits that met targets */
+	/* Slowly decaying maximum of the limits that met targets. */
+	double best_limit;
 	unsigned int epoch_samples; /* good samples in this epoch */
 	unsigned int class_misses[DOCUMENT_CLASSES_MAX];
-	/* Lower quartile of the first-token time in ms per prompt token; 0:
-	 * unknown. */
+	/*
+	 * Lower quartile of the first-token time in ms per prompt token; 0:
+	 * unknown.
+	 */
 	double prompt_token_ms[DOCUMENT_CLASSES_MAX];
 	/* Moving averages in ms and tokens; 0: unknown. */
 	double first_token;
@@ -227,15 +229,14 @@
 
 /* State that only the owner of an engine has. */
 struct owner_state {
-	struct timer wake; /* first: its callback casts it to struct owned */
+	struct timer wake; /* first: cast to struct owner_state */
 	struct engine *engine;
 	struct reservation_tree tree;
 	struct queue queue;
 	struct slots slots;
 	unsigned int running;
 	msec hold_until; /* no grants before: entry nodes report what runs */
-	msec adopt_limit_until; /* adopts the previous owner's limit until then
-				 */
+	msec adopt_limit_until; /* of the previous owner, if higher */
 	unsigned int failures;
 	msec failed_until;
 };
@@ -255,8 +256,8 @@
 	unsigned int nrunning;
 	unsigned int slots; /* from the last grant; 0: unknown */
 	double token_ms;    /* 0: unknown */
-	double
-	    prompt_token_ms; /* first token, ms per prompt token; 0: unknown */
+	/* First-token time in ms per prompt token; 0: unknown. */
+	double prompt_token_ms;
 	unsigned int failures;
 	msec failed_until;
 	/* From the engine's last load report. */
@@ -272,9 +273,9 @@
 	struct engine *engine;
 	name_id owner;
 	msec sent;
-	msec next_send;		 /* when to send it again */
-	msec replied_at;	 /* last reply; 0: none */
-	unsigned int send_count; /* times sent */
+	msec next_send;	 /* when to send it again */
+	msec replied_at; /* last reply; 0: none */
+	unsigned int send_count;
 };
 
 enum request_phase {
--- a/dispatch-slots.c
+++ b/dispatch-slots.c
@@ -13,15 +13,19 @@
 #define SLOTS_MAX 1024
 /* Minimum good samples in an epoch; one per slot if there are more slots. */
 #define EPOCH_SAMPLES_MIN 4
-/* Samples of a class in an epoch that must miss targets before a decrease:
- * part of the limit, and minimum. */
+/*
+ * Samples of a class in an epoch that must miss targets before a decrease:
+ * part of the limit, and minimum.
+ */
 #define MISS_FRACTION 0.15
 #define MISS_MIN 2
 /* Part of the first-token target that the engine itself may use. */
 #define FIRST_TOKEN_SHARE 0.6
 #define DECREASE 0.9
-/* Slots added per `limit` good samples: usually, and while recovering below
- * RECOVER_BELOW of the best limit. */
+/*
+ * Slots added per `limit` good samples: usually, and while recovering below
+ * RECOVER_BELOW of the best limit.
+ */
 #define INCREASE 0.5
 #define INCREASE_RECOVER 2
 #define RECOVER_BELOW 0.8
@@ -36,8 +40,10 @@
 #define OVERDUE_SLACK 50
 /* Relative change of the first-token quartile per sample. */
 #define QUARTILE_STEP 0.005
-/* Minimum part of the running requests that must be overdue; single requests
- * may be slow for other reasons. */
+/*
+ * Minimum part of the running requests that must be overdue; single requests
+ * may be slow for other reasons.
+ */
 #define STALLED_FRACTION 0.06
 
 static double sample_token_ms(const struct slots_sample *);
@@ -115,7 +121,8 @@
 	    MAX(1, sample->first_token) / prompt_work(sample->prompt));
 	if (target > 0 && sample->first_token > target * FIRST_TOKEN_SHARE)
 		return true;
-	/* Plain services, which have no token rate, have no predictable time.
+	/*
+	 * Plain services, which have no token rate, have no predictable time.
 	 */
 	return s->token_ms > 0 && sample->first_token > bound;
 }
@@ -226,8 +233,10 @@
 	slots_decrease(s, now, running - stalled);
 }
 
-/* Records a whole answer; slots_record_first_token() has recorded its first
- * token. */
+/*
+ * Records a whole answer; slots_record_first_token() has recorded its first
+ * token.
+ */
 void
 slots_record_answer(
     struct slots *s, msec now, const struct slots_sample *sample, bool full)
--- a/dispatch.h
+++ b/dispatch.h
@@ -54,8 +54,10 @@
 
 /* Callbacks; all must be set. */
 struct dispatch_ops {
-	/* Sends a message to a node; delivery is not guaranteed. Must not
-	 * call dispatch functions. */
+	/*
+	 * Sends a message to a node; delivery is not guaranteed. Must not
+	 * call dispatch functions.
+	 */
 	void (*send)(struct dispatch *, name_id, const sp_msg *);
 	/* Starts the request on r->engine. */
 	void (*granted)(struct dispatch *, struct dispatch_request *);
@@ -141,7 +143,8 @@
 void
 dispatch_set_load(struct dispatch *, msec, name_id, unsigned int, unsigned int);
 
-/* Requests a slot. May call ops->granted() or ops->refused() before returning.
+/*
+ * Requests a slot. May call ops->granted() or ops->refused() before returning.
  */
 void dispatch_submit(struct dispatch *, msec, struct dispatch_request *);
 /* Withdraws a request that waits, or that holds a slot it has not used. */
--- a/request.h
+++ b/request.h
@@ -49,7 +49,7 @@
 	REQUEST_CODE_BROKEN,	     /* failed in the middle of the answer */
 	REQUEST_CODE_LEAVING,	     /* this entry VM is stopping */
 	REQUEST_CODE_CLAIM_FAILED,   /* the log rejected the claim */
-	REQUEST_CODE_CLAIM_UNKNOWN,  /* unknown whether the key was claimed */
+	REQUEST_CODE_CLAIM_UNKNOWN,  /* unknown whether the key's request ran */
 	REQUEST_CODE_OTHER_BODY,     /* the key was used with another body */
 	REQUEST_CODE_BAD_TICKET,     /* forged, or another organisation's */
 	REQUEST_CODE_CALLER_GONE
@@ -119,7 +119,8 @@
 void request_claim(struct request *);
 /* Requests a slot. */
 void request_go(struct request *, msec);
-/* Fails it, with a retry delay in ms: not-run unless an attempt may have run.
+/*
+ * Fails it, with a retry delay in ms: not-run unless an attempt may have run.
  */
 void request_fail(struct request *, msec, enum request_code, msec);
 /* As request_fail(), but it may have run elsewhere: the outcome is unknown. */
--- a/retry-budget.h
+++ b/retry-budget.h
@@ -45,7 +45,8 @@
 /* Counts a caller's request for the service. */
 void retry_budget_request(
     struct retry_budget *, const struct retry_budget_config *, msec);
-/* Takes one retry if allowed; `nodes` share the fixed part, this one included.
+/*
+ * Takes one retry if allowed; `nodes` share the fixed part, this one included.
  */
 bool retry_budget_take(struct retry_budget *,
     const struct retry_budget_config *, msec, unsigned int nodes);
--- a/route.h
+++ b/route.h
@@ -117,7 +117,8 @@
 const struct route_service *
 route_service_find(const struct route_table *, name_id);
 bool route_has_service(const struct route *, name_id);
-/* Chooses one of the route's services by weight; takes a uniform random number.
+/*
+ * Chooses one of the route's services by weight; takes a uniform random number.
  */
 name_id route_service_draw(const struct route *, uint32_t);
 /*
--- a/usage.c
+++ b/usage.c
@@ -121,7 +121,8 @@
 	u->clocks = table_new(g_free);
 	if (window <= 0)
 		return;
-	/* The current one, the next (for fast clocks), and those not due yet.
+	/*
+	 * The current one, the next (for fast clocks), and those not due yet.
 	 */
 	u->nwindows =
 	    (unsigned int)CLAMP(lateness / window + 3, 4, USAGE_WINDOWS_MAX);
--- a/usage.h
+++ b/usage.h
@@ -39,8 +39,8 @@
 	GHashTable *own;   /* organisation to count */
 	GHashTable *dirty; /* organisations with unsent counts */
 	unsigned int total;
-	unsigned int
-	    final_sends; /* times that all counts were sent after its end */
+	/* Times that all counts were sent after the window's end. */
+	unsigned int final_sends;
 	/* As a keeper: counts received from each process. */
 	GHashTable *nodes;
 	/* Counts recorded by a previous holder, and when in true time. */
@@ -57,10 +57,10 @@
 
 /* Monotonic counters. */
 struct usage_counters {
-	uint64_t
-	    dropped;	/* messages with implausible counts or an old window */
-	uint64_t jumps; /* of the local wall clock */
-	uint64_t corrections; /* corrections of the true time */
+	/* Messages with implausible counts or for a window that is not kept. */
+	uint64_t dropped;
+	uint64_t jumps;	      /* of the local wall clock */
+	uint64_t corrections; /* of the true time */
 };
 
 /* State of one node; the caller allocates it. */
