--- a/daemon-limits.c
+++ b/daemon-limits.c
@@ -133,10 +133,10 @@
 		limits_refuse(c, now);
 		return false;
 	}
-	c->held_until = limits_hold(d, now);
+	c->unlisted_kept_until = limits_hold(d, now);
 	log_debug_of(LOG_REQUEST, c->id,
 	    "%s is held for its organisation's limit, %" PRId64 " ms at most",
-	    c->id, c->held_until - now);
+	    c->id, c->unlisted_kept_until - now);
 	d->nheld++;
 	call_take(c);
 	TAILQ_INSERT_TAIL(&d->held, c, held_entry);
@@ -154,7 +154,7 @@
 		/* A call without time is refused now, not at the deadline. */
 		time = daemon_stop_leaves_time(d, c, STOP_AHEAD_WHOLE, now);
 		ok = c->open && time && limits_try(d, c, now);
-		if (c->open && time && !ok && now < c->held_until)
+		if (c->open && time && !ok && now < c->unlisted_kept_until)
 			continue;
 		TAILQ_REMOVE(&d->held, c, held_entry);
 		d->nheld--;
--- a/daemon-placement.c
+++ b/daemon-placement.c
@@ -139,7 +139,7 @@
 		if (r == NULL || strcmp(b->vm.kind, "engine") != 0 ||
 		    strcmp(b->vm.service, s->user.service) != 0)
 			continue;
-		placement_engine_is(&s->placement, b->id,
+		placement_engine_set(&s->placement, b->id,
 		    document_trait(&r->doc, b->vm.name).fenced, b->vm.leaving);
 	}
 	placement_engines_end(&s->placement);
@@ -185,7 +185,7 @@
 			    state_decode(one, &has[n]))
 				n++;
 		}
-		placement_state(&s->placement, q->engine, has, n);
+		placement_engine_state(&s->placement, q->engine, has, n);
 	}
 	g_free(q);
 }
--- a/daemon.h
+++ b/daemon.h
@@ -215,7 +215,7 @@
 	bool open;	    /* in the list of open calls */
 	bool limited;	    /* holds a part of its organisation's limits */
 	unsigned int limited_tokens;
-	msec held_until;
+	msec unlisted_kept_until;
 };
 TAILQ_HEAD(call_list, call);
 
--- a/entry-attempt.c
+++ b/entry-attempt.c
@@ -230,7 +230,7 @@
 	    LOG_NUMBER(LOG_KEY_AHEAD_MS, j->place.queue.ahead),
 	    LOG_NUMBER(LOG_KEY_LIMIT_MS, j->place.queue.limit),
 	    LOG_NUMBER(LOG_KEY_TARGET_MS, j->route->target));
-	place_end(&e->place, now, &j->place, SERVER_UNKNOWN);
+	place_end(&e->place, now, &j->place, SERVER_NO_RESULT);
 	job_fail(j, now, JOB_OVERLOADED);
 }
 
@@ -258,11 +258,11 @@
 	}
 	if (!route_has_service(j->route, j->service)) {
 		/* The route's services changed while the request waited. */
-		place_end(p, now, r, SERVER_UNKNOWN);
+		place_end(p, now, r, SERVER_NO_RESULT);
 		job_attempt(j, now);
 		return;
 	}
-	if (j->sends == 0 && place_queue_is_long(&r->queue)) {
+	if (j->sends == 0 && place_queue_exceeds_limit(&r->queue)) {
 		job_turn_away(j, now);
 		return;
 	}
@@ -427,7 +427,7 @@
 	if (first && j->route->target > 0)
 		late = late || now - j->sent_at > j->route->target;
 	if (late)
-		place_late(&j->owner->place, now, &j->place);
+		place_mark_late(&j->owner->place, now, &j->place);
 }
 
 /* Count the request's usage once, even if several attempts run. */
@@ -450,8 +450,9 @@
 	if (j->refused_by_server)
 		return;
 	job_began_to_run(j, now);
-	place_read(&j->owner->place, now, &j->place);
-	server_heard(j->server, now, j->place.wish.rank, j->sent_at);
+	place_prompt_read(&j->owner->place, now, &j->place);
+	server_response_received(
+	    j->server, now, j->place.wish.rank, j->sent_at);
 	if (reply_body(j, bytes, n, now)) {
 		job_watch_time(j, now, first);
 		job_arm_patience(j, now);
@@ -479,12 +480,12 @@
 	job_began_to_run(j, now);
 	poison_served(&j->owner->poison.core, now, j->same);
 	if (j->server_error && j->repeatable) {
-		job_leave_server(j, now, SERVER_WELL);
+		job_leave_server(j, now, SERVER_ANSWERED);
 		job_next(j, now, JOB_SERVER_ERROR);
 		return;
 	}
 	reply_whole(j, now);
-	job_leave_server(j, now, SERVER_WELL);
+	job_leave_server(j, now, SERVER_ANSWERED);
 	job_free(j, now, j->server_error ? JOB_SERVER_ERROR : JOB_SERVED);
 }
 
@@ -498,8 +499,8 @@
 {
 	struct servers *s = &k->owner->servers;
 
-	servers_missed(s, now, k->server);
-	return servers_in_reach(s, now) ? SERVER_DOWN : SERVER_UNKNOWN;
+	servers_connect_timed_out(s, now, k->server);
+	return servers_in_reach(s, now) ? SERVER_DOWN : SERVER_NO_RESULT;
 }
 
 /* What the end of an attempt shows about the server. */
@@ -508,7 +509,7 @@
 {
 	switch (how) {
 	case LINK_LEFT:
-		return SERVER_UNKNOWN;
+		return SERVER_NO_RESULT;
 	case LINK_UNHEARD:
 		return link_unheard(k, now);
 	case LINK_UNSENT:
@@ -576,7 +577,7 @@
 	struct server_wish w;
 
 	job_fill_wish(j, &w);
-	return servers_have_another(&j->owner->servers, &w);
+	return servers_have_alternative(&j->owner->servers, &w);
 }
 
 /*
@@ -604,8 +605,8 @@
 		return false;
 	if (!servers_in_reach(&j->owner->servers, now))
 		return false;
-	if (!j->began && !server_forgot(j->server, now, j->place.wish.rank,
-			     j->sent_at, job_silence_ms(j)))
+	if (!j->began && !server_lost_request(j->server, now,
+			     j->place.wish.rank, j->sent_at, job_silence_ms(j)))
 		return false;
 	return job_has_another(j);
 }
@@ -638,7 +639,7 @@
 	    LOG_NUMBER(LOG_KEY_LEFT_MS, j->deadline - now));
 	job_ran(j);
 	/* The server is busy, not faulty. */
-	job_cancel(j, now, SERVER_UNKNOWN);
+	job_cancel(j, now, SERVER_NO_RESULT);
 	job_fail(j, now, JOB_TIMEOUT);
 }
 
--- a/entry-duty.c
+++ b/entry-duty.c
@@ -616,7 +616,7 @@
 			continue;
 		all[n++] = *t->services[i].scaling;
 		if (e->settings->order_servers)
-			place_set_most(&e->place, t->services[i].id,
+			place_set_max_servers(&e->place, t->services[i].id,
 			    t->services[i].scaling->maximum *
 				t->services[i].scaling->ndomains);
 	}
@@ -706,13 +706,14 @@
 {
 	struct entry_duty *x = e->duty;
 	uint64_t number;
-	bool whole;
+	bool complete;
 	msec ago;
 
 	if (!usage_ended(&x->usage, now, x->processes, x->nprocesses, &number,
-		&ago, &whole))
+		&ago, &complete))
 		return;
-	if (ago < DUTY_DECIDE_LEAST_MS || (!whole && ago < DUTY_DECIDE_MOST_MS))
+	if (ago < DUTY_DECIDE_LEAST_MS ||
+	    (!complete && ago < DUTY_DECIDE_MOST_MS))
 		return;
 	if (window_left(e, number, now) <= 0) {
 		x->missed++;
@@ -757,10 +758,10 @@
 	struct entry_duty *x = e->duty;
 	struct server *v;
 
-	if (!e->source_up || now < e->servers.held_until)
+	if (!e->source_up || now < e->servers.unlisted_kept_until)
 		return;
 	x->capacity.nodes = x->nprocesses;
-	capacity_clear_ready(&x->capacity, e->servers.whole);
+	capacity_clear_ready(&x->capacity, e->servers.complete);
 	RB_FOREACH (v, server_tree, &e->servers.tree) {
 		if (v->state == SERVER_READY)
 			capacity_add_ready(&x->capacity, v->service, v->domain,
--- a/entry-era.c
+++ b/entry-era.c
@@ -33,7 +33,7 @@
 {
 	if (e->era.number == 0)
 		return;
-	servers_remember(&e->servers, ERA_COPY_MS);
+	servers_set_retention(&e->servers, ERA_COPY_MS);
 	entry_duty_set_era(e);
 }
 
@@ -48,10 +48,10 @@
 {
 	msec until = now + e->settings->rewrite + ERA_READ_MS;
 
-	servers_remember(&e->servers, ERA_COPY_MS);
-	servers_hold(&e->servers, until);
-	servers_doubt(&e->servers, until);
-	relay_forget(&e->relay);
+	servers_set_retention(&e->servers, ERA_COPY_MS);
+	servers_keep_unlisted(&e->servers, until);
+	servers_keep_gone(&e->servers, until);
+	relay_drop_confirmations(&e->relay);
 	entry_duty_rewound(e, now);
 	e->source->ops->rewound(e->source);
 	entry_era_log(e, now, "changed");
@@ -111,7 +111,7 @@
 		return;
 	era_told(&e->era, now, number, (uint32_t)e->settings->rewrite);
 	/* Reads sent before this point prove nothing: read again. */
-	e->source->ops->read(e->source, RELAY_TABLE);
+	e->source->ops->read(e->source, RELAY_CONFIGURATION);
 }
 
 uint64_t
--- a/entry-job.c
+++ b/entry-job.c
@@ -144,7 +144,7 @@
 	entry_count(e, j, code, now);
 	job_learn_rest(j, now, code);
 	job_log(j, now, code);
-	job_cancel(j, now, SERVER_UNKNOWN);
+	job_cancel(j, now, SERVER_NO_RESULT);
 	loop_timer_stop(&e->loop, &j->timer);
 	route_table_drop(j->table);
 	g_free(j->id);
@@ -210,7 +210,7 @@
 	job_cancel(j, now,
 	    code == JOB_TIMEOUT && j->may_have_run && !j->began
 		? SERVER_FAILED
-		: SERVER_UNKNOWN);
+		: SERVER_NO_RESULT);
 	if (j->began)
 		caller_break(c, now);
 	else if (j->server_error && j->may_have_run)
@@ -340,7 +340,7 @@
 
 	if (j->link != NULL && j->link->sent) {
 		j->may_have_run = true;
-		place_late(&j->owner->place, now, &j->place);
+		place_mark_late(&j->owner->place, now, &j->place);
 	}
 	job_fail(j, now, JOB_TIMEOUT);
 }
--- a/entry-metrics.c
+++ b/entry-metrics.c
@@ -276,7 +276,7 @@
 	    "Placed without a coordinator's answer.", (int64_t)p->alone);
 	text_value(s, "placements_alone_away_total", "counter",
 	    "Of these, turned away as coordinators had done a moment before.",
-	    (int64_t)p->alone_away);
+	    (int64_t)p->alone_refused);
 	text_value(s, "placements_made_total", "counter",
 	    "Placed here as coordinator.", (int64_t)p->coordinated);
 	text_value(s, "prompt_tokens_total", "counter",
@@ -372,8 +372,9 @@
 		    "limits of %s: quiet servers %u%% learned from %" PRIu64
 		    ", others %u%% from %" PRIu64 "\n",
 		    service_name(e, m->service),
-		    server_limit_percent(&m->limit_light), m->limit_light.fared,
-		    server_limit_percent(&m->limit), m->limit.fared);
+		    server_limit_percent(&m->limit_light),
+		    m->limit_light.adjustments, server_limit_percent(&m->limit),
+		    m->limit.adjustments);
 		for (i = 0; i < m->nroutes; i++) {
 			r = &m->routes[i];
 			g_string_append_printf(s,
--- a/entry-rate.c
+++ b/entry-rate.c
@@ -32,9 +32,9 @@
 rate_odd(struct entry *e, struct server *v, msec now)
 {
 	e->counters.rates_unreadable++;
-	if (!v->rate.odd)
+	if (!v->rate.unreadable)
 		rate_log(e, v, "unreadable", v->rate.sent, now);
-	v->rate.odd = true;
+	v->rate.unreadable = true;
 }
 
 void
@@ -57,11 +57,11 @@
 		rate_odd(e, v, now);
 		return;
 	}
-	if (!server_rate_hear(&v->rate, now, now, a.per_s))
+	if (!server_rate_update(&v->rate, now, now, a.per_s))
 		return;
 	e->counters.rates++;
 	rate_log_named(e, v, sent, now);
-	place_rate_heard(&e->place, now, v);
+	place_rate_received(&e->place, now, v);
 }
 
 void
--- a/entry-relay.c
+++ b/entry-relay.c
@@ -56,7 +56,7 @@
 static void
 entry_relay_proven(struct relay *r, enum relay_subject s, msec then)
 {
-	if (s == RELAY_TABLE)
+	if (s == RELAY_CONFIGURATION)
 		fresh_prove(&entry_of_relay(r)->fresh, then);
 }
 
@@ -102,7 +102,7 @@
 	unsigned int n = 0;
 
 	RB_FOREACH (v, server_tree, &all->tree)
-		n += server_mark(v) != v->told;
+		n += server_mark(v) != v->sent_mark;
 	return n;
 }
 
@@ -126,21 +126,21 @@
 	if (s != RELAY_SERVERS)
 		return;
 	RB_FOREACH (v, server_tree, &e->servers.tree)
-		mark += v->told;
+		mark += v->sent_mark;
 	if (mark == 0 || servers_untold(&e->servers) > RELAY_SERVERS_NEWS) {
 		RB_FOREACH (v, server_tree, &e->servers.tree)
-			v->told = server_mark(v);
+			v->sent_mark = server_mark(v);
 		return;
 	}
 	m->before = entry_era_mark(e, mark);
 	m->list.list_val = list;
 	RB_FOREACH (v, server_tree, &e->servers.tree) {
 		own = server_mark(v);
-		if (own == v->told)
+		if (own == v->sent_mark)
 			continue;
 		server_encode(&list[m->list.list_len++], v);
-		mark += own - v->told;
-		v->told = own;
+		mark += own - v->sent_mark;
+		v->sent_mark = own;
 		if (m->list.list_len < RELAY_SERVERS_EACH)
 			continue;
 		m->after = entry_era_mark(e, mark);
@@ -198,7 +198,7 @@
 	mark = entry_era_mark(e, servers_mark(&e->servers));
 	if (mark != m->after)
 		return;
-	relay_took(&e->relay, RELAY_SERVERS, mark);
+	relay_state_received(&e->relay, RELAY_SERVERS, mark);
 	if (m->position > 0)
 		e->source->ops->set_servers_position(e->source, m->position);
 }
@@ -226,24 +226,24 @@
 	 * the newest one.
 	 */
 	if (e->table == NULL || !entry_era_proves(e, asked)) {
-		relay_read_in_vain(&e->relay, RELAY_TABLE, asked);
+		relay_read_unusable(&e->relay, RELAY_CONFIGURATION, asked);
 		return;
 	}
 	fresh_prove(&e->fresh, asked);
-	relay_read(&e->relay, e->loop.now, RELAY_TABLE,
+	relay_read_succeeded(&e->relay, e->loop.now, RELAY_CONFIGURATION,
 	    entry_era_mark(e, e->table->version), asked);
 }
 
 void
 entry_take_nothing(struct entry *e, enum relay_subject s, msec asked)
 {
-	relay_read_in_vain(&e->relay, s, asked);
+	relay_read_unusable(&e->relay, s, asked);
 }
 
 void
 entry_take_servers(struct entry *e, msec asked)
 {
-	relay_read(&e->relay, e->loop.now, RELAY_SERVERS,
+	relay_read_succeeded(&e->relay, e->loop.now, RELAY_SERVERS,
 	    entry_era_mark(e, servers_mark(&e->servers)), asked);
 }
 
@@ -251,7 +251,7 @@
 entry_read_failed(struct entry *e, enum relay_subject s, msec now)
 {
 	relay_read_failed(&e->relay, now, s);
-	if (s == RELAY_TABLE)
+	if (s == RELAY_CONFIGURATION)
 		entry_table_ask(e, now);
 }
 
--- a/entry-state.c
+++ b/entry-state.c
@@ -272,7 +272,7 @@
 void
 entry_source_down(struct entry *e, msec now, const char *why)
 {
-	servers_hold(&e->servers, now + STATE_HOLD_MS);
+	servers_keep_unlisted(&e->servers, now + STATE_HOLD_MS);
 	if (!e->source_up)
 		return;
 	e->source_up = false;
@@ -288,7 +288,7 @@
 	if (e->source_up)
 		return;
 	e->source_up = true;
-	servers_hold(&e->servers, now + STATE_HOLD_MS);
+	servers_keep_unlisted(&e->servers, now + STATE_HOLD_MS);
 	entry_log(&e->log, now, ENTRY_LOG_NEEDED, LOG_EVENT_PLATFORM_BACK,
 	    LOG_NUMBER(LOG_KEY_MS, now - e->source_lost));
 }
--- a/entry-table.c
+++ b/entry-table.c
@@ -40,9 +40,9 @@
 static bool
 table_is_behind(const struct entry *e)
 {
-	const struct relay_known *k = &e->relay.known[RELAY_TABLE];
+	const struct relay_freshness *k = &e->relay.known[RELAY_CONFIGURATION];
 
-	return e->table != NULL && k->look >= 0 && k->look > k->asked;
+	return e->table != NULL && k->differed >= 0 && k->differed > k->asked;
 }
 
 void
@@ -143,8 +143,8 @@
 	}
 	t->taken++;
 	entry_take_table(e, table, now);
-	relay_took(
-	    &e->relay, RELAY_TABLE, entry_era_mark(e, e->table->version));
+	relay_state_received(&e->relay, RELAY_CONFIGURATION,
+	    entry_era_mark(e, e->table->version));
 }
 
 static void
--- a/place-baseline.c
+++ b/place-baseline.c
@@ -69,7 +69,7 @@
 }
 
 static bool
-baseline_avoids(const struct server_wish *w, name_id id)
+baseline_excludes(const struct server_wish *w, name_id id)
 {
 	unsigned int i;
 
@@ -81,7 +81,7 @@
 }
 
 struct server *
-place_pick(struct place *p, msec now, const struct server_wish *w)
+place_pick_baseline(struct place *p, msec now, const struct server_wish *w)
 {
 	struct server **list = g_new(struct server *, p->servers->count + 1);
 	struct server *v, *picked = NULL;
@@ -89,7 +89,7 @@
 
 	RB_FOREACH (v, server_tree, &p->servers->tree) {
 		if (v->service == w->service && v->state == SERVER_READY &&
-		    now >= v->resting_until && !baseline_avoids(w, v->id))
+		    now >= v->resting_until && !baseline_excludes(w, v->id))
 			list[n++] = v;
 	}
 	if (n > 0)
--- a/place-coordinate.c
+++ b/place-coordinate.c
@@ -13,23 +13,23 @@
 #include <xxhash.h>
 
 /* A counted request whose end was not reported is dropped after this. */
-#define PLACE_HOLD_MS (30 * MSEC_SECOND)
+#define PLACE_RECORD_MS (30 * MSEC_SECOND)
 /* A coordinator without a request for this long starts a new period. */
 #define PLACE_IDLE_MS (5 * MSEC_SECOND)
 /* In this time after its start it may not know which prompts servers hold. */
 #define PLACE_YOUNG_MS (15 * MSEC_SECOND)
 /* In this time the previous coordinator may still be active. */
-#define PLACE_BEGAN_MS (4 * MSEC_SECOND)
+#define PLACE_TAKEOVER_MS (4 * MSEC_SECOND)
 /* Maximum groups of a service; more servers make the groups larger. */
 #define PLACE_GROUPS_MAX 64
 /* Minimum ready servers per group if the service has a configured maximum. */
-#define PLACE_GROUP_LEAST 6
+#define PLACE_GROUP_MIN_READY 6
 /* Slots assumed if no server of the service reports its own. */
-#define PLACE_SLOTS 32
+#define PLACE_SLOTS_DEFAULT 32
 
 /* A request counted by a coordinator on a server. */
-struct place_hold {
-	RB_ENTRY(place_hold) entry;
+struct place_record {
+	RB_ENTRY(place_record) entry;
 	name_id node;
 	uint32_t id;
 	name_id server;
@@ -39,20 +39,20 @@
 	unsigned int rank;
 	unsigned int tokens; /* unread prompt tokens */
 	bool model;	     /* the request has a prompt */
-	bool pressed;	     /* it was admitted near the limit */
+	bool near_limit;     /* it was admitted near the limit */
 	bool late;	     /* recorded as late in the limit */
 	bool counted;	     /* as running in the statistics of its route */
 	msec since;
 };
 
-static int hold_compare(struct place_hold *, struct place_hold *);
+static int place_record_compare(struct place_record *, struct place_record *);
 
-RB_PROTOTYPE(place_holds, place_hold, entry, hold_compare)
-RB_GENERATE(place_holds, place_hold, entry, hold_compare)
+RB_PROTOTYPE(place_records, place_record, entry, place_record_compare)
+RB_GENERATE(place_records, place_record, entry, place_record_compare)
 RB_GENERATE(place_mixes, mix, entry, place_mix_compare)
 
 static int
-hold_compare(struct place_hold *a, struct place_hold *b)
+place_record_compare(struct place_record *a, struct place_record *b)
 {
 	if (a->node != b->node)
 		return a->node < b->node ? -1 : 1;
@@ -66,7 +66,7 @@
 }
 
 struct mix *
-place_mix(struct place_mixes *all, name_id service)
+place_traffic(struct place_mixes *all, name_id service)
 {
 	struct mix find = { .service = service }, *m;
 
@@ -90,12 +90,12 @@
 }
 
 void
-place_holds_free(struct place *p)
+place_records_free(struct place *p)
 {
-	struct place_hold *h;
+	struct place_record *h;
 
-	while ((h = RB_MIN(place_holds, &p->holds)) != NULL) {
-		RB_REMOVE(place_holds, &p->holds, h);
+	while ((h = RB_MIN(place_records, &p->records)) != NULL) {
+		RB_REMOVE(place_records, &p->records, h);
 		g_free(h);
 	}
 }
@@ -103,9 +103,9 @@
 /* ---- groups and their coordinators ---- */
 
 void
-place_set_most(struct place *p, name_id service, unsigned int most)
+place_set_max_servers(struct place *p, name_id service, unsigned int most)
 {
-	place_mix(&p->own, service)->servers_most = most;
+	place_traffic(&p->own, service)->servers_max = most;
 }
 
 static unsigned int
@@ -124,15 +124,15 @@
  * ready servers, and is halved only while groups have too few ready servers.
  */
 unsigned int
-place_groups(struct place *p, name_id service)
+place_count_groups(struct place *p, name_id service)
 {
 	struct server_view whole = { .groups = 1 };
-	unsigned int ready = servers_ready(p->servers, service, &whole);
-	unsigned int most = place_mix(&p->own, service)->servers_most, n;
+	unsigned int ready = servers_count_ready(p->servers, service, &whole);
+	unsigned int most = place_traffic(&p->own, service)->servers_max, n;
 
 	if (ready > most)
 		return groups_of(ready);
-	for (n = groups_of(most); n > 1 && ready < n * PLACE_GROUP_LEAST;)
+	for (n = groups_of(most); n > 1 && ready < n * PLACE_GROUP_MIN_READY;)
 		n = (n + 1) / 2;
 	return n;
 }
@@ -147,7 +147,7 @@
 
 /* Counts the ready servers of each group. */
 static void
-place_sizes(
+place_group_sizes(
     struct place *p, name_id service, unsigned int groups, unsigned int *sizes)
 {
 	struct server *v;
@@ -174,7 +174,7 @@
 		return 0;
 	draw = w->prompt != 0 ? w->prompt
 			      : ((uint64_t)g_rand_int(p->rand) << 1) + 1;
-	place_sizes(p, w->service, groups, sizes);
+	place_group_sizes(p, w->service, groups, sizes);
 	for (i = 0; i < groups; i++) {
 		u = ((double)place_weight(draw, i, 0) + 1) /
 		    18446744073709551616.0;
@@ -209,7 +209,7 @@
 /* ---- deciding ---- */
 
 static unsigned int
-place_slots(struct place *p, name_id service)
+place_service_slots(struct place *p, name_id service)
 {
 	struct server *v;
 
@@ -217,7 +217,7 @@
 		if (v->service == service && v->slots > 0)
 			return v->slots;
 	}
-	return PLACE_SLOTS;
+	return PLACE_SLOTS_DEFAULT;
 }
 
 /*
@@ -226,7 +226,7 @@
  * only; none may then use a server's whole rate limit.
  */
 static bool
-place_is_asked(const struct place *p)
+place_has_coordinator(const struct place *p)
 {
 	unsigned int i;
 
@@ -242,34 +242,34 @@
 place_view(struct place *p, msec now, const struct server_wish *w, bool all,
     unsigned int groups, unsigned int group)
 {
-	struct mix *m = place_mix(all ? &p->all : &p->own, w->service);
+	struct mix *m = place_traffic(all ? &p->all : &p->own, w->service);
 	struct server_view view = { .all = all,
 		.domain = all ? "" : p->domain,
 		.hold_ms = m->hold_ms,
 		.groups = groups,
 		.group = group,
-		.nodes = MAX(p->fleet, 1),
+		.nodes = MAX(p->max_nodes, 1),
 		.now = now };
-	msec coordinates = now - p->coordinates_since;
+	msec coordinates = now - p->coordinator_since;
 
-	view.sole = all && place_is_asked(p);
+	view.sole = all && place_has_coordinator(p);
 	view.young = coordinates < PLACE_YOUNG_MS;
-	view.began = coordinates < PLACE_BEGAN_MS;
+	view.takeover = coordinates < PLACE_TAKEOVER_MS;
 	/* A retried request counts as urgent. */
 	view.urgent = w->navoid > 0 || !mix_has_more_urgent(m, w->rank);
 	if (w->own + w->shared > 0) {
 		view.light = mix_is_light(m, w->route);
-		view.quiet =
-		    mix_quiet_servers(m, now, all ? 1 : MAX(p->fleet, 1),
-			servers_kept(p->servers, w->service, &view),
-			place_slots(p, w->service));
+		view.quiet = mix_quiet_servers(m, now,
+		    all ? 1 : MAX(p->max_nodes, 1),
+		    servers_count_unthrottled(p->servers, w->service, &view),
+		    place_service_slots(p, w->service));
 	}
 	return view;
 }
 
 struct server *
-place_choose(struct place *p, msec now, const struct server_wish *w, bool all,
-    unsigned int groups, unsigned int group)
+place_choose_server(struct place *p, msec now, const struct server_wish *w,
+    bool all, unsigned int groups, unsigned int group)
 {
 	struct server_view view = place_view(p, now, w, all, groups, group);
 
@@ -302,16 +302,16 @@
 
 /* ---- as coordinator ---- */
 
-static struct place_hold *
-hold_find(struct place *p, name_id node, uint32_t id)
+static struct place_record *
+place_record_find(struct place *p, name_id node, uint32_t id)
 {
-	struct place_hold find = { .node = node, .id = id };
+	struct place_record find = { .node = node, .id = id };
 
-	return RB_FIND(place_holds, &p->holds, &find);
+	return RB_FIND(place_records, &p->records, &find);
 }
 
 static void
-hold_read(struct place *p, struct place_hold *h)
+place_record_prompt_read(struct place *p, struct place_record *h)
 {
 	struct server *v = servers_find(p->servers, h->server);
 
@@ -321,7 +321,7 @@
 }
 
 static void
-hold_end(struct place *p, msec now, struct place_hold *h)
+place_record_end(struct place *p, msec now, struct place_record *h)
 {
 	struct server *v = servers_find(p->servers, h->server);
 
@@ -329,45 +329,45 @@
 	if (h->tokens > 0 && h->prompt != 0)
 		server_memory_forget(
 		    &p->servers->all_memory, h->server, h->prompt);
-	hold_read(p, h);
+	place_record_prompt_read(p, h);
 	if (v != NULL)
 		place_load_end(&v->all);
 	if (h->counted)
-		mix_ended(place_mix(&p->all, h->service), now, h->route);
-	RB_REMOVE(place_holds, &p->holds, h);
+		mix_ended(place_traffic(&p->all, h->service), now, h->route);
+	RB_REMOVE(place_records, &p->records, h);
 	g_free(h);
 }
 
 void
-place_hold_begin(struct place *p, msec now, name_id node, uint32_t id,
+place_record_begin(struct place *p, msec now, name_id node, uint32_t id,
     struct server *v, const struct server_wish *w, const struct place_queue *q)
 {
-	struct mix *m = place_mix(&p->all, w->service);
-	struct place_hold *h;
+	struct mix *m = place_traffic(&p->all, w->service);
+	struct place_record *h;
 
-	if ((h = hold_find(p, node, id)) != NULL)
-		hold_end(p, now, h);
-	h = g_new0(struct place_hold, 1);
+	if ((h = place_record_find(p, node, id)) != NULL)
+		place_record_end(p, now, h);
+	h = g_new0(struct place_record, 1);
 	h->node = node;
 	h->id = id;
 	h->server = v->id;
 	h->service = w->service;
 	h->route = w->route;
 	h->rank = w->rank;
-	if (RB_INSERT(place_holds, &p->holds, h) != NULL) {
+	if (RB_INSERT(place_records, &p->records, h) != NULL) {
 		g_free(h);
 		return;
 	}
 	h->tokens = w->own;
 	h->model = w->own + w->shared > 0;
-	h->pressed = q != NULL && server_limit_is_near(q->ahead, q->limit);
+	h->near_limit = q != NULL && server_limit_is_near(q->ahead, q->limit);
 	if (!server_memory_has(&p->servers->all_memory, now, v->id, w->prompt,
-		PLACE_HOLD_MS)) {
+		PLACE_RECORD_MS)) {
 		h->tokens += w->shared;
 		h->prompt = w->prompt;
 	}
 	if (h->model)
-		mix_demand(m, w->route, h->tokens);
+		mix_add_demand(m, w->route, h->tokens);
 	p->counters.tokens += w->own + w->shared;
 	p->counters.tokens_kept += w->own + w->shared - h->tokens;
 	h->since = now;
@@ -386,32 +386,34 @@
  * properties of their route only from the next new request.
  */
 static void
-holds_adopt(struct place *p, msec now, name_id service, name_id route)
+place_records_count_running(
+    struct place *p, msec now, name_id service, name_id route)
 {
-	struct place_hold *h;
+	struct place_record *h;
 	unsigned int n = 0;
 
-	RB_FOREACH (h, place_holds, &p->holds) {
+	RB_FOREACH (h, place_records, &p->records) {
 		if (h->counted || h->service != service || h->route != route)
 			continue;
 		h->counted = true;
 		n++;
 	}
-	mix_adopt(place_mix(&p->all, service), now, route, n);
+	mix_add_running(place_traffic(&p->all, service), now, route, n);
 }
 
 /* The first request of a route adds the route, whichever node placed it. */
 void
-place_seen(struct place *p, msec now, const struct server_wish *w, bool all)
+place_count_request(
+    struct place *p, msec now, const struct server_wish *w, bool all)
 {
-	struct mix *m = place_mix(all ? &p->all : &p->own, w->service);
+	struct mix *m = place_traffic(all ? &p->all : &p->own, w->service);
 
 	if (w->own + w->shared == 0)
 		return;
-	if (mix_request(
+	if (mix_record_request(
 		m, now, w->route, w->gap_target, w->rank, w->own + w->shared) &&
 	    all)
-		holds_adopt(p, now, w->service, w->route);
+		place_records_count_running(p, now, w->service, w->route);
 }
 
 /* Maximum time to read the prompts before a request, in ms; 0: no limit. */
@@ -427,28 +429,29 @@
 }
 
 struct server *
-place_coordinate(struct place *p, msec now, name_id node, uint32_t id,
+place_coordinate_request(struct place *p, msec now, name_id node, uint32_t id,
     const struct server_wish *w, struct place_queue *q)
 {
-	unsigned int groups = place_groups(p, w->service);
+	unsigned int groups = place_count_groups(p, w->service);
 	unsigned int group = place_group(p, w, groups);
 	struct server_view view;
 	struct server *v;
 
 	*q = (struct place_queue){ 0 };
-	if (now - p->coordinated_at > PLACE_IDLE_MS)
-		p->coordinates_since = now;
-	p->coordinated_at = now;
-	place_seen(p, now, w, true);
+	if (now - p->last_coordinated_at > PLACE_IDLE_MS)
+		p->coordinator_since = now;
+	p->last_coordinated_at = now;
+	place_count_request(p, now, w, true);
 	view = place_view(p, now, w, true, groups, group);
 	v = server_choose(p->servers, now, w, &view, g_rand_int(p->rand));
 	if (v == NULL)
 		return NULL;
-	q->ahead = MIN(server_reading(&v->all, w->rank),
-	    servers_reading(p->servers, w->service, w->rank, &view));
-	q->limit = coordinate_limit(place_mix(&p->all, w->service), w, &view);
-	place_hold_begin(p, now, node, id, v, w, q);
-	q->wait = server_reading(&v->all, SERVER_RANKS);
+	q->ahead = MIN(server_reading_ms(&v->all, w->rank),
+	    servers_reading_ms(p->servers, w->service, w->rank, &view));
+	q->limit =
+	    coordinate_limit(place_traffic(&p->all, w->service), w, &view);
+	place_record_begin(p, now, node, id, v, w, q);
+	q->wait = server_reading_ms(&v->all, SERVER_RANKS);
 	return v;
 }
 
@@ -457,13 +460,13 @@
 	enum server_result result;
 	enum sp_place_what what;
 } place_ends[] = {
-	{ SERVER_WELL, SP_PLACE_WELL },
+	{ SERVER_ANSWERED, SP_PLACE_WELL },
 	{ SERVER_FAILED, SP_PLACE_FAILED },
 	{ SERVER_DOWN, SP_PLACE_DOWN },
 };
 
 static enum server_result
-place_result(enum sp_place_what what)
+place_result_decode(enum sp_place_what what)
 {
 	size_t i;
 
@@ -471,11 +474,11 @@
 		if (place_ends[i].what == what)
 			return place_ends[i].result;
 	}
-	return SERVER_UNKNOWN;
+	return SERVER_NO_RESULT;
 }
 
 enum sp_place_what
-place_what(enum server_result result)
+place_result_encode(enum server_result result)
 {
 	size_t i;
 
@@ -488,54 +491,55 @@
 
 /* Adjusts the admission limit by whether the request was served in time. */
 static void
-hold_learn(struct place *p, struct place_hold *h, bool late)
+place_record_adjust_limit(struct place *p, struct place_record *h, bool late)
 {
-	struct mix *m = place_mix(&p->all, h->service);
+	struct mix *m = place_traffic(&p->all, h->service);
 
 	if (!h->model || h->late)
 		return;
 	h->late = late;
-	server_limit_learn(
+	server_limit_adjust(
 	    mix_is_light(m, h->route) ? &m->limit_light : &m->limit, late,
-	    h->pressed);
+	    h->near_limit);
 }
 
 void
 place_step(struct place *p, msec now, name_id node, uint32_t id,
     enum sp_place_what what)
 {
-	struct place_hold *h = hold_find(p, node, id);
+	struct place_record *h = place_record_find(p, node, id);
 	struct server *v;
 
 	if (h == NULL)
 		return;
 	if (what == SP_PLACE_READ) {
-		hold_read(p, h);
+		place_record_prompt_read(p, h);
 		return;
 	}
 	if (what == SP_PLACE_LATE) {
-		hold_learn(p, h, true);
+		place_record_adjust_limit(p, h, true);
 		return;
 	}
 	if (what == SP_PLACE_WELL) {
-		hold_learn(p, h, false);
-		mix_held(place_mix(&p->all, h->service), now - h->since);
+		place_record_adjust_limit(p, h, false);
+		mix_record_hold_time(
+		    place_traffic(&p->all, h->service), now - h->since);
 	}
 	/* place_end() has recorded the results of this node's requests. */
 	v = servers_find(p->servers, h->server);
 	if (v != NULL && node != p->self)
-		server_learn(v, now, place_result(what));
-	hold_end(p, now, h);
+		server_record_result(v, now, place_result_decode(what));
+	place_record_end(p, now, h);
 }
 
 /* Drops requests whose end was not reported, such as those of a dead node. */
 void
-place_sweep(struct place *p, msec now)
+place_expire_records(struct place *p, msec now)
 {
-	struct place_hold *h, *next;
+	struct place_record *h, *next;
 
-	RB_FOREACH_SAFE (h, place_holds, &p->holds, next) {
-		if (now - h->since >= PLACE_HOLD_MS)
-			hold_end(p, now, h);
+	RB_FOREACH_SAFE (h, place_records, &p->records, next) {
+		if (now - h->since >= PLACE_RECORD_MS)
+			place_record_end(p, now, h);
 	}
 }
--- a/place-private.h
+++ b/place-private.h
@@ -9,23 +9,25 @@
 #include "place.h"
 
 /* Traffic statistics of a service by route; created on first use. */
-struct mix *place_mix(struct place_mixes *, name_id service);
+struct mix *place_traffic(struct place_mixes *, name_id service);
 void place_mixes_free(struct place_mixes *);
 /*
  * Records a request in the statistics of its route; `all`: those of all nodes,
  * as coordinator, else those of this node.
  */
-void place_seen(struct place *, msec, const struct server_wish *, bool all);
+void
+place_count_request(struct place *, msec, const struct server_wish *, bool all);
 
 /* Number of groups of a service's servers; the group of a request. */
-unsigned int place_groups(struct place *, name_id service);
+unsigned int place_count_groups(struct place *, name_id service);
 unsigned int
 place_group(struct place *, const struct server_wish *, unsigned int groups);
 /* Returns the node that coordinates a group. */
 name_id place_coordinator(struct place *, name_id service, unsigned int group);
 /* Returns the best server by load; `all`: of all nodes, else of this node. */
-struct server *place_choose(struct place *, msec, const struct server_wish *,
-    bool all, unsigned int groups, unsigned int group);
+struct server *
+place_choose_server(struct place *, msec, const struct server_wish *, bool all,
+    unsigned int groups, unsigned int group);
 
 /*
  * Counts a request with its unread prompt tokens on a server; removes the
@@ -38,29 +40,29 @@
 void place_load_end(struct server_load *);
 
 /* As coordinator: selects a server for a node's request and counts it. */
-struct server *place_coordinate(struct place *, msec, name_id, uint32_t,
+struct server *place_coordinate_request(struct place *, msec, name_id, uint32_t,
     const struct server_wish *, struct place_queue *);
 /*
  * As coordinator: counts a request, with the queue found when it was placed;
  * NULL: another node placed it.
  */
-void place_hold_begin(struct place *, msec, name_id node, uint32_t id,
+void place_record_begin(struct place *, msec, name_id node, uint32_t id,
     struct server *, const struct server_wish *, const struct place_queue *);
 /* As coordinator: handles a status change of a counted request. */
 void
 place_step(struct place *, msec, name_id node, uint32_t id, enum sp_place_what);
 /* Maps the result of a request to its wire value. */
-enum sp_place_what place_what(enum server_result);
+enum sp_place_what place_result_encode(enum server_result);
 /* Drops expired requests; drops all. */
-void place_sweep(struct place *, msec);
-void place_holds_free(struct place *);
+void place_expire_records(struct place *, msec);
+void place_records_free(struct place *);
 
 /*
  * Sends all known rate limits to the coordinators of their servers; handles a
  * rate limit received from another node.
  */
-void place_rates_tell(struct place *, msec);
-void place_rate_told(struct place *, msec, name_id, const sp_place_rate *);
+void place_rates_send(struct place *, msec);
+void place_rate_receive(struct place *, msec, name_id, const sp_place_rate *);
 /*
  * As coordinator: lists up to SAVORY_RATED_MAX rate limits for a reply;
  * returns their number.
@@ -69,6 +71,7 @@
     struct place *, msec, const struct server_wish *, sp_place_rate *);
 
 /* Selects a server by the configured baseline; NULL: none is available. */
-struct server *place_pick(struct place *, msec, const struct server_wish *);
+struct server *
+place_pick_baseline(struct place *, msec, const struct server_wish *);
 
 #endif /* PLACE_PRIVATE_H */
--- a/place-rate.c
+++ b/place-rate.c
@@ -7,11 +7,11 @@
 #include "place-private.h"
 
 /* Interval of repeated reports, as messages may be lost. */
-#define RATE_AGAIN_MS (5 * MSEC_SECOND)
+#define RATE_RESEND_MS (5 * MSEC_SECOND)
 /* How long the removal of a rate limit is included in replies. */
-#define RATE_NEWS_MS (5 * MSEC_SECOND)
+#define RATE_REMOVED_MS (5 * MSEC_SECOND)
 /* A rate limit without an update for this long is not reported any more. */
-#define RATE_FORGET_MS (5 * 60 * MSEC_SECOND)
+#define RATE_EXPIRE_MS (5 * 60 * MSEC_SECOND)
 
 static void
 rate_encode(const struct server *v, msec now, sp_place_rate *m)
@@ -19,7 +19,7 @@
 	m->server = v->id;
 	m->born = (uint64_t)v->born;
 	m->per_s = v->rate.per_s;
-	m->age_ms = (u_int)(now - v->rate.heard);
+	m->age_ms = (u_int)(now - v->rate.received);
 }
 
 static void
@@ -31,13 +31,14 @@
 	p->ops->send(p, to, &msg);
 }
 
-/* The server has a rate limit, or had one until RATE_NEWS_MS ago. */
+/* The server has a rate limit, or had one until RATE_REMOVED_MS ago. */
 static bool
-rate_is_news(const struct server *v, msec now)
+rate_is_reportable(const struct server *v, msec now)
 {
-	return v->rate.heard != MSEC_NEVER &&
+	return v->rate.received != MSEC_NEVER &&
 	       (v->rate.per_s > 0 ||
-		   (v->rate.since != 0 && now - v->rate.since < RATE_NEWS_MS));
+		   (v->rate.since != 0 &&
+		       now - v->rate.since < RATE_REMOVED_MS));
 }
 
 /* Continues after the server that was listed last. */
@@ -45,19 +46,19 @@
 place_rates_list(
     struct place *p, msec now, const struct server_wish *w, sp_place_rate *out)
 {
-	struct server find = { .id = p->rate_told + 1 }, *v;
+	struct server find = { .id = p->last_listed_rate + 1 }, *v;
 	unsigned int n = 0, left;
 
-	if (now - p->rates_at >= RATE_FORGET_MS)
+	if (now - p->rates_at >= RATE_EXPIRE_MS)
 		return 0;
 	v = RB_NFIND(server_tree, &p->servers->tree, &find);
 	for (left = p->servers->count; left > 0 && n < SAVORY_RATED_MAX;
 	     left--) {
 		if (v == NULL)
 			v = RB_MIN(server_tree, &p->servers->tree);
-		if (v->service == w->service && rate_is_news(v, now)) {
+		if (v->service == w->service && rate_is_reportable(v, now)) {
 			rate_encode(v, now, &out[n++]);
-			p->rate_told = v->id;
+			p->last_listed_rate = v->id;
 			p->rates_at = now;
 		}
 		v = RB_NEXT(server_tree, &p->servers->tree, v);
@@ -66,9 +67,9 @@
 }
 
 static void
-rate_tell(struct place *p, msec now, const struct server *v)
+rate_send_to_coordinator(struct place *p, msec now, const struct server *v)
 {
-	unsigned int groups = place_groups(p, v->service);
+	unsigned int groups = place_count_groups(p, v->service);
 	name_id to = place_coordinator(
 	    p, v->service, groups > 1 ? server_group(v, groups) : 0);
 
@@ -77,44 +78,45 @@
 }
 
 void
-place_rate_heard(struct place *p, msec now, const struct server *v)
+place_rate_received(struct place *p, msec now, const struct server *v)
 {
 	p->rates_at = now;
-	rate_tell(p, now, v);
+	rate_send_to_coordinator(p, now, v);
 }
 
 void
-place_rates_tell(struct place *p, msec now)
+place_rates_send(struct place *p, msec now)
 {
 	struct server *v;
 
-	p->next_rates = now + RATE_AGAIN_MS;
-	if (now - p->rates_at >= RATE_FORGET_MS)
+	p->next_rates = now + RATE_RESEND_MS;
+	if (now - p->rates_at >= RATE_EXPIRE_MS)
 		return;
 	RB_FOREACH (v, server_tree, &p->servers->tree) {
-		if (v->rate.heard != MSEC_NEVER && v->rate.since != 0 &&
-		    now - v->rate.heard < RATE_FORGET_MS)
-			rate_tell(p, now, v);
+		if (v->rate.received != MSEC_NEVER && v->rate.since != 0 &&
+		    now - v->rate.received < RATE_EXPIRE_MS)
+			rate_send_to_coordinator(p, now, v);
 	}
 }
 
 /* A sender with an outdated rate limit is sent the newer one. */
 void
-place_rate_told(struct place *p, msec now, name_id from, const sp_place_rate *m)
+place_rate_receive(
+    struct place *p, msec now, name_id from, const sp_place_rate *m)
 {
 	struct server *v = servers_find(p->servers, m->server);
 	msec then = now - (msec)m->age_ms;
 
 	if (v == NULL || (uint64_t)v->born != m->born ||
-	    !(m->per_s >= 0 && m->per_s < SERVER_RATE_MOST))
+	    !(m->per_s >= 0 && m->per_s < SERVER_RATE_MAX))
 		return;
-	if (v->rate.heard != MSEC_NEVER && then < v->rate.heard) {
+	if (v->rate.received != MSEC_NEVER && then < v->rate.received) {
 		if (v->rate.per_s != m->per_s)
 			rate_send(p, now, v, from);
 		return;
 	}
-	if (!server_rate_hear(&v->rate, now, then, m->per_s))
+	if (!server_rate_update(&v->rate, now, then, m->per_s))
 		return;
 	p->rates_at = now;
-	p->ops->rated(p, v, now);
+	p->ops->rate_changed(p, v, now);
 }
--- a/place.c
+++ b/place.c
@@ -12,9 +12,9 @@
  * Time limit of a coordinator's reply: a multiple of the smoothed round trip,
  * within these bounds.
  */
-#define PLACE_WAIT_LEAST_MS 20
-#define PLACE_WAIT_MOST_MS 80
-#define PLACE_WAIT_TIMES 4
+#define PLACE_REPLY_TIMEOUT_MIN_MS 20
+#define PLACE_REPLY_TIMEOUT_MAX_MS 80
+#define PLACE_REPLY_TIMEOUT_FACTOR 4
 /* After this many missed replies in a row, no coordinator is asked for a time.
  */
 #define PLACE_MISSED_MAX 6
@@ -24,16 +24,16 @@
  * partitioned node would take its own requests for all traffic. It uses the
  * largest number of nodes seen in this period.
  */
-#define PLACE_FLEET_MS (30 * MSEC_SECOND)
+#define PLACE_MAX_NODES_MS (30 * MSEC_SECOND)
 #define PLACE_SWEEP_MS MSEC_SECOND
 /*
  * Minimum process age of a coordinator: membership updates take up to 3 s to
  * reach all of 60 nodes while others join and leave. If fewer than one in
- * PLACE_GROWN_ONE_IN nodes that take work are that old, all of them coordinate,
- * so that a few nodes do not decide for all.
+ * PLACE_COORDINATORS_ONE_IN nodes that take work are that old, all of them
+ * coordinate, so that a few nodes do not decide for all.
  */
-#define PLACE_GROWN_MS (5 * MSEC_SECOND)
-#define PLACE_GROWN_ONE_IN 4
+#define PLACE_COORDINATOR_AGE_MS (5 * MSEC_SECOND)
+#define PLACE_COORDINATORS_ONE_IN 4
 
 void
 place_init(struct place *p, const struct place_ops *ops, struct servers *s,
@@ -47,13 +47,13 @@
 	TAILQ_INIT(&p->running);
 	RB_INIT(&p->own);
 	RB_INIT(&p->all);
-	RB_INIT(&p->holds);
+	RB_INIT(&p->records);
 }
 
 void
 place_finish(struct place *p)
 {
-	place_holds_free(p);
+	place_records_free(p);
 	place_mixes_free(&p->own);
 	place_mixes_free(&p->all);
 	g_free(p->nodes);
@@ -61,7 +61,7 @@
 }
 
 bool
-place_queue_is_long(const struct place_queue *q)
+place_queue_exceeds_limit(const struct place_queue *q)
 {
 	return q->limit > 0 && q->ahead > q->limit;
 }
@@ -102,7 +102,7 @@
 }
 
 static void
-place_tell_step(
+place_send_step(
     struct place *p, msec now, struct place_request *r, enum sp_place_what what)
 {
 	sp_msg msg = { .kind = SP_PLACE_STEP };
@@ -133,8 +133,8 @@
 		r->unread = true;
 		place_load_add(
 		    &v->own, r->wish.rank, r->wish.own + r->wish.shared);
-		mix_started(
-		    place_mix(&p->own, r->wish.service), now, r->wish.route);
+		mix_started(place_traffic(&p->own, r->wish.service), now,
+		    r->wish.route);
 		if (r->wish.prompt != 0)
 			server_memory_note(
 			    &p->servers->memory, now, v->id, r->wish.prompt);
@@ -144,7 +144,7 @@
 
 /* Reports a request to a coordinator that did not place it. */
 static void
-place_tell_took(struct place *p, msec now, struct place_request *r)
+place_send_took(struct place *p, msec now, struct place_request *r)
 {
 	struct server *v = servers_find(p->servers, r->server);
 	sp_msg msg = { .kind = SP_PLACE_TOOK };
@@ -155,7 +155,7 @@
 	if (!r->unread)
 		w.own = w.shared = 0;
 	if (r->coordinator == p->self) {
-		place_hold_begin(p, now, p->self, r->id, v, &w, NULL);
+		place_record_begin(p, now, p->self, r->id, v, &w, NULL);
 		return;
 	}
 	msg.sp_msg_u.place_took.id = r->id;
@@ -169,18 +169,19 @@
  * beyond the limit.
  */
 static void
-place_told(struct place *p, msec now, const struct place_request *r)
+place_note_reply(struct place *p, msec now, const struct place_request *r)
 {
 	const struct place_queue *q = &r->queue;
-	struct server_told *t;
+	struct server_refusals *t;
 
 	/* A request that was sent before is always admitted. */
 	if (r->wish.navoid > 0)
 		return;
-	t = mix_told(place_mix(&p->own, r->wish.service), r->wish.route);
+	t = mix_refusals(
+	    place_traffic(&p->own, r->wish.service), r->wish.route);
 	if (t != NULL)
-		server_told_note(t, now, place_queue_is_long(q), q->wait,
-		    q->ahead, q->limit);
+		server_refusals_record(t, now, place_queue_exceeds_limit(q),
+		    q->wait, q->ahead, q->limit);
 }
 
 /*
@@ -192,16 +193,16 @@
  * the same share of its requests as the coordinators did last.
  */
 static bool
-place_guess_away(struct place *p, msec now, struct place_request *r)
+place_refuse_alone(struct place *p, msec now, struct place_request *r)
 {
-	const struct server_told *t =
-	    mix_told(place_mix(&p->own, r->wish.service), r->wish.route);
+	const struct server_refusals *t = mix_refusals(
+	    place_traffic(&p->own, r->wish.service), r->wish.route);
 
 	if (r->wish.navoid > 0 || t == NULL ||
-	    !server_told_away(t, now, g_rand_double(p->rand)))
+	    !server_refusals_apply(t, now, g_rand_double(p->rand)))
 		return false;
 	r->queue = (struct place_queue){ t->wait, t->ahead, t->limit };
-	p->counters.alone_away++;
+	p->counters.alone_refused++;
 	return true;
 }
 
@@ -210,22 +211,22 @@
  * node, and reports the choice to the coordinator.
  */
 static void
-place_alone(struct place *p, msec now, struct place_request *r)
+place_decide_alone(struct place *p, msec now, struct place_request *r)
 {
-	unsigned int groups = place_groups(p, r->wish.service);
+	unsigned int groups = place_count_groups(p, r->wish.service);
 	unsigned int group = place_group(p, &r->wish, groups);
 	struct server *v;
 
-	v = place_choose(p, now, &r->wish, false, groups, group);
+	v = place_choose_server(p, now, &r->wish, false, groups, group);
 	if (v == NULL && groups > 1)
-		v = place_choose(p, now, &r->wish, false, 1, 0);
+		v = place_choose_server(p, now, &r->wish, false, 1, 0);
 	p->counters.alone++;
 	/* A refused request reaches no server, so no coordinator counts it. */
-	if (v != NULL && place_guess_away(p, now, r))
+	if (v != NULL && place_refuse_alone(p, now, r))
 		r->id = 0;
 	r->server = v != NULL ? v->id : 0;
 	r->unread = true;
-	place_tell_took(p, now, r);
+	place_send_took(p, now, r);
 	place_decide(p, now, r, v);
 }
 
@@ -246,7 +247,7 @@
 void
 place_submit(struct place *p, msec now, struct place_request *r)
 {
-	unsigned int groups = place_groups(p, r->wish.service);
+	unsigned int groups = place_count_groups(p, r->wish.service);
 	unsigned int group = place_group(p, &r->wish, groups);
 	struct server *v;
 
@@ -255,30 +256,30 @@
 	r->queue = (struct place_queue){ 0 };
 	if (p->policy != NULL) {
 		r->id = 0;
-		place_decide(p, now, r, place_pick(p, now, &r->wish));
+		place_decide(p, now, r, place_pick_baseline(p, now, &r->wish));
 		return;
 	}
 	if (++p->next_id == 0)
 		p->next_id = 1;
 	r->id = p->next_id;
 	r->coordinator = place_coordinator(p, r->wish.service, group);
-	place_seen(p, now, &r->wish, false);
+	place_count_request(p, now, &r->wish, false);
 	if (r->coordinator == p->self) {
-		v = place_coordinate(
+		v = place_coordinate_request(
 		    p, now, p->self, r->id, &r->wish, &r->queue);
-		place_told(p, now, r);
+		place_note_reply(p, now, r);
 		if (v == NULL)
-			v = place_choose(p, now, &r->wish, false, 1, 0);
+			v = place_choose_server(p, now, &r->wish, false, 1, 0);
 		place_decide(p, now, r, v);
 	} else if (now < p->alone_until) {
-		place_alone(p, now, r);
+		place_decide_alone(p, now, r);
 	} else {
 		place_ask(p, now, r);
 	}
 }
 
 void
-place_read(struct place *p, msec now, struct place_request *r)
+place_prompt_read(struct place *p, msec now, struct place_request *r)
 {
 	struct server *v;
 
@@ -288,16 +289,16 @@
 	if ((v = servers_find(p->servers, r->server)) != NULL)
 		place_load_read(
 		    &v->own, r->wish.rank, r->wish.own + r->wish.shared);
-	place_tell_step(p, now, r, SP_PLACE_READ);
+	place_send_step(p, now, r, SP_PLACE_READ);
 }
 
 void
-place_late(struct place *p, msec now, struct place_request *r)
+place_mark_late(struct place *p, msec now, struct place_request *r)
 {
 	if (r->late || !r->local)
 		return;
 	r->late = true;
-	place_tell_step(p, now, r, SP_PLACE_LATE);
+	place_send_step(p, now, r, SP_PLACE_LATE);
 }
 
 void
@@ -317,18 +318,19 @@
 			    r->wish.own + r->wish.shared);
 		if (v != NULL) {
 			place_load_end(&v->own);
-			server_learn(v, now, result);
+			server_record_result(v, now, result);
 		}
-		mix_ended(
-		    place_mix(&p->own, r->wish.service), now, r->wish.route);
+		mix_ended(place_traffic(&p->own, r->wish.service), now,
+		    r->wish.route);
 	}
 	r->local = r->unread = false;
-	place_tell_step(p, now, r, place_what(result));
+	place_send_step(p, now, r, place_result_encode(result));
 	r->id = 0;
 }
 
 static void
-place_answered(struct place *p, msec now, name_id from, const sp_place_tell *t)
+place_receive_reply(
+    struct place *p, msec now, name_id from, const sp_place_tell *t)
 {
 	struct place_request *r;
 	struct server *v;
@@ -347,26 +349,27 @@
 	p->missed = 0;
 	p->counters.answered++;
 	r->queue = (struct place_queue){ t->wait_ms, t->ahead_ms, t->limit_ms };
-	place_told(p, now, r);
+	place_note_reply(p, now, r);
 	p->round_trip += 0.1 * ((double)(now - r->asked) - p->round_trip);
 	v = t->server != 0 ? servers_find(p->servers, t->server) : NULL;
 	for (i = 0; i < t->rates.rates_len; i++)
-		place_rate_told(p, now, from, &t->rates.rates_val[i]);
+		place_rate_receive(p, now, from, &t->rates.rates_val[i]);
 	/* A new coordinator may not have the server's rate limit yet. */
 	if (v != NULL && v->rate.per_s > 0 && !t->rated) {
-		place_rate_heard(p, now, v);
+		place_rate_received(p, now, v);
 		v = NULL;
 	}
 	/* A server that this node knows to be draining is not used. */
 	if (v == NULL || v->state != SERVER_READY)
-		place_alone(p, now, r);
+		place_decide_alone(p, now, r);
 	else
 		place_decide(p, now, r, v);
 }
 
 /* As coordinator: replies to a query. */
 static void
-place_answer(struct place *p, msec now, name_id from, const sp_place_ask *ask)
+place_reply_to_query(
+    struct place *p, msec now, name_id from, const sp_place_ask *ask)
 {
 	sp_msg msg = { .kind = SP_PLACE_TELL };
 	sp_place_tell *t = &msg.sp_msg_u.place_tell;
@@ -376,7 +379,7 @@
 	struct server *v;
 
 	wish_decode(&w, &ask->wish);
-	v = place_coordinate(p, now, from, ask->id, &w, &queue);
+	v = place_coordinate_request(p, now, from, ask->id, &w, &queue);
 	t->id = ask->id;
 	t->server = v != NULL ? v->id : 0;
 	t->wait_ms = (u_int)queue.wait;
@@ -399,22 +402,22 @@
 
 	switch (msg->kind) {
 	case SP_PLACE_ASK:
-		place_answer(p, now, from, ask);
+		place_reply_to_query(p, now, from, ask);
 		break;
 	case SP_PLACE_TELL:
-		place_answered(p, now, from, &msg->sp_msg_u.place_tell);
+		place_receive_reply(p, now, from, &msg->sp_msg_u.place_tell);
 		break;
 	case SP_PLACE_TOOK:
 		wish_decode(&w, &took->wish);
-		place_seen(p, now, &w, true);
+		place_count_request(p, now, &w, true);
 		if ((v = servers_find(p->servers, took->server)) != NULL)
-			place_hold_begin(p, now, from, took->id, v, &w, NULL);
+			place_record_begin(p, now, from, took->id, v, &w, NULL);
 		break;
 	case SP_PLACE_STEP:
 		place_step(p, now, from, step->id, step->what);
 		break;
 	case SP_PLACE_RATE:
-		place_rate_told(p, now, from, &msg->sp_msg_u.place_rate);
+		place_rate_receive(p, now, from, &msg->sp_msg_u.place_rate);
 		break;
 	default:
 		break;
@@ -425,17 +428,17 @@
 
 /* Reports a running request to the coordinator that its group has now. */
 static void
-place_move(struct place *p, msec now, struct place_request *r)
+place_update_coordinator(struct place *p, msec now, struct place_request *r)
 {
-	unsigned int groups = place_groups(p, r->wish.service);
+	unsigned int groups = place_count_groups(p, r->wish.service);
 	unsigned int group = place_group(p, &r->wish, groups);
 	name_id to = place_coordinator(p, r->wish.service, group);
 
 	if (r->id == 0 || to == r->coordinator)
 		return;
-	place_tell_step(p, now, r, SP_PLACE_ENDED);
+	place_send_step(p, now, r, SP_PLACE_ENDED);
 	r->coordinator = to;
-	place_tell_took(p, now, r);
+	place_send_took(p, now, r);
 }
 
 /*
@@ -446,25 +449,26 @@
  * the age of its process, so they switch at the same time.
  */
 static void
-nodes_grow(struct place_node *nodes, unsigned int n)
+nodes_set_coordinators(struct place_node *nodes, unsigned int n)
 {
 	unsigned int i, takers = 0, grown = 0;
 
 	for (i = 0; i < n; i++) {
 		nodes[i].coordinates =
 		    nodes[i].takes_work &&
-		    (nodes[i].age < 0 || nodes[i].age >= PLACE_GROWN_MS);
+		    (nodes[i].age < 0 ||
+			nodes[i].age >= PLACE_COORDINATOR_AGE_MS);
 		takers += nodes[i].takes_work;
 		grown += nodes[i].coordinates;
 	}
-	if (grown * PLACE_GROWN_ONE_IN >= takers)
+	if (grown * PLACE_COORDINATORS_ONE_IN >= takers)
 		return;
 	for (i = 0; i < n; i++)
 		nodes[i].coordinates = nodes[i].takes_work;
 }
 
 static bool
-nodes_same(
+nodes_equal(
     const struct place *p, const struct place_node *nodes, unsigned int n)
 {
 	unsigned int i;
@@ -487,12 +491,12 @@
 	struct place_node *nodes = g_memdup2(list, n * sizeof *list);
 	struct place_request *r;
 
-	if (n >= p->fleet || now - p->fleet_at >= PLACE_FLEET_MS) {
-		p->fleet = n;
-		p->fleet_at = now;
+	if (n >= p->max_nodes || now - p->max_nodes_at >= PLACE_MAX_NODES_MS) {
+		p->max_nodes = n;
+		p->max_nodes_at = now;
 	}
-	nodes_grow(nodes, n);
-	if (nodes_same(p, nodes, n)) {
+	nodes_set_coordinators(nodes, n);
+	if (nodes_equal(p, nodes, n)) {
 		g_free(nodes);
 		return;
 	}
@@ -500,17 +504,17 @@
 	p->nodes = nodes;
 	p->nnodes = n;
 	TAILQ_FOREACH (r, &p->running, entry)
-		place_move(p, now, r);
-	place_rates_tell(p, now);
+		place_update_coordinator(p, now, r);
+	place_rates_send(p, now);
 }
 
 /* ---- time ---- */
 
 static msec
-place_patience(const struct place *p)
+place_reply_timeout(const struct place *p)
 {
-	return CLAMP((msec)(p->round_trip * PLACE_WAIT_TIMES),
-	    PLACE_WAIT_LEAST_MS, PLACE_WAIT_MOST_MS);
+	return CLAMP((msec)(p->round_trip * PLACE_REPLY_TIMEOUT_FACTOR),
+	    PLACE_REPLY_TIMEOUT_MIN_MS, PLACE_REPLY_TIMEOUT_MAX_MS);
 }
 
 msec
@@ -519,8 +523,8 @@
 	struct place_request *r;
 
 	while ((r = TAILQ_FIRST(&p->waiting)) != NULL) {
-		if (now - r->asked < place_patience(p))
-			return r->asked + place_patience(p);
+		if (now - r->asked < place_reply_timeout(p))
+			return r->asked + place_reply_timeout(p);
 		TAILQ_REMOVE(&p->waiting, r, entry);
 		r->waiting = false;
 		if (++p->missed >= PLACE_MISSED_MAX) {
@@ -528,13 +532,13 @@
 			p->missed = 0;
 			p->alone_until = now + PLACE_ALONE_MS;
 		}
-		place_alone(p, now, r);
+		place_decide_alone(p, now, r);
 	}
 	if (now >= p->next_sweep) {
 		p->next_sweep = now + PLACE_SWEEP_MS;
-		place_sweep(p, now);
+		place_expire_records(p, now);
 		if (now >= p->next_rates)
-			place_rates_tell(p, now);
+			place_rates_send(p, now);
 	}
 	return p->next_sweep;
 }
--- a/place.h
+++ b/place.h
@@ -46,7 +46,7 @@
  * Returns true if `ahead` exceeds `limit`, so that the request should be
  * refused. See server-limit.h.
  */
-bool place_queue_is_long(const struct place_queue *);
+bool place_queue_exceeds_limit(const struct place_queue *);
 
 /* A request that waits for a server or runs on one. Owned by the caller. */
 struct place_request {
@@ -66,10 +66,10 @@
 };
 TAILQ_HEAD(place_requests, place_request);
 
-struct place_hold;
+struct place_record;
 struct place_policy;
 /* Requests counted by a coordinator; traffic statistics by service. */
-RB_HEAD(place_holds, place_hold);
+RB_HEAD(place_records, place_record);
 RB_HEAD(place_mixes, mix);
 int place_mix_compare(struct mix *, struct mix *);
 RB_PROTOTYPE(place_mixes, mix, entry, place_mix_compare)
@@ -87,7 +87,7 @@
 	void (*decided)(
 	    struct place *, struct place_request *, struct server *, msec);
 	/* Another node reported a changed rate limit of a server. */
-	void (*rated)(struct place *, struct server *, msec);
+	void (*rate_changed)(struct place *, struct server *, msec);
 };
 
 /* A node of the membership; the local node is one of them. */
@@ -105,7 +105,7 @@
 	 * decisions without a coordinator, requests counted as coordinator.
 	 */
 	uint64_t asked, answered, late, alone, coordinated;
-	uint64_t alone_away; /* of `alone`: refused at the last known rate */
+	uint64_t alone_refused; /* of `alone`: refused at the last known rate */
 	/*
 	 * As coordinator: prompt tokens, and those of them that the server
 	 * had already read.
@@ -122,23 +122,23 @@
 	GRand *rand;
 	unsigned int nnodes;
 	struct place_node *nodes;
-	unsigned int fleet; /* largest recent number of nodes */
-	msec fleet_at;
-	msec coordinated_at;	/* last request placed as coordinator */
-	msec coordinates_since; /* start of this node's coordinator period */
+	unsigned int max_nodes; /* largest recent number of nodes */
+	msec max_nodes_at;
+	msec last_coordinated_at; /* last request placed as coordinator */
+	msec coordinator_since;	  /* start of this node's coordinator period */
 	uint32_t next_id;
 	struct place_requests waiting; /* for a coordinator's reply */
 	struct place_requests running; /* on a server */
 	double round_trip;	       /* smoothed, ms */
 	unsigned int missed;	       /* consecutive replies missed */
 	msec next_sweep;
-	msec next_rates;   /* when rate limits are sent again */
-	msec rates_at;	   /* last rate limit received or listed */
-	name_id rate_told; /* server whose rate limit was listed last */
-	msec alone_until;  /* coordinators are not asked before */
+	msec next_rates;	  /* when rate limits are sent again */
+	msec rates_at;		  /* last rate limit received or listed */
+	name_id last_listed_rate; /* server whose rate limit was listed last */
+	msec alone_until;	  /* coordinators are not asked before */
 	/* Traffic of this node, and of all nodes as coordinator. */
 	struct place_mixes own, all;
-	struct place_holds holds; /* as coordinator */
+	struct place_records records; /* as coordinator */
 	struct place_counters counters;
 	void *arg;			   /* for the caller */
 	const struct place_policy *policy; /* NULL: coordinators decide */
@@ -158,16 +158,16 @@
 void
 place_set_nodes(struct place *, msec, const struct place_node *, unsigned int);
 /* Sets the configured maximum of a service's servers; 0: not configured. */
-void place_set_most(struct place *, name_id service, unsigned int);
+void place_set_max_servers(struct place *, name_id service, unsigned int);
 /* Selects a server; decided() is called before this returns, or later. */
 void place_submit(struct place *, msec, struct place_request *);
 /* The server has read the request's prompt: its response has begun. */
-void place_read(struct place *, msec, struct place_request *);
+void place_prompt_read(struct place *, msec, struct place_request *);
 /*
  * The server missed the target for the first event or for the longest pause of
  * a stream, or it timed out.
  */
-void place_late(struct place *, msec, struct place_request *);
+void place_mark_late(struct place *, msec, struct place_request *);
 /*
  * The request was cancelled or has left its server. The result is recorded for
  * the server here and by the coordinator.
@@ -175,7 +175,7 @@
 void
 place_end(struct place *, msec, struct place_request *, enum server_result);
 /* A response to this node carried a changed rate limit of the server. */
-void place_rate_heard(struct place *, msec, const struct server *);
+void place_rate_received(struct place *, msec, const struct server *);
 /* Handles a message from another node. */
 void place_receive(struct place *, msec, name_id, const sp_msg *);
 /* Runs due timers; returns the time of the next call. */
--- a/placement.c
+++ b/placement.c
@@ -82,7 +82,7 @@
 }
 
 void
-placement_engine_is(struct placement *p, name_id id, bool fenced, bool leaving)
+placement_engine_set(struct placement *p, name_id id, bool fenced, bool leaving)
 {
 	struct placement_engine *e = placement_find(p, id);
 
@@ -126,7 +126,7 @@
 }
 
 void
-placement_state(struct placement *p, name_id id,
+placement_engine_state(struct placement *p, name_id id,
     const struct placement_model *has, unsigned int n)
 {
 	struct placement_engine *e = placement_find(p, id);
@@ -216,7 +216,7 @@
 
 /* Number of engines that were ordered to load it and do not have it ready. */
 static unsigned int
-placement_rolling(const struct placement *p, const struct doc_model *m)
+placement_count_loading(const struct placement *p, const struct doc_model *m)
 {
 	const struct placement_engine *e;
 	unsigned int i, n = 0;
@@ -232,7 +232,7 @@
 
 /* Number of engines that have it ready; `all`: that are not leaving. */
 static unsigned int
-placement_count(
+placement_count_ready(
     const struct placement *p, const struct doc_model *m, unsigned int *all)
 {
 	const struct placement_engine *e;
@@ -253,15 +253,15 @@
  * alone, so that a version that fails to load costs no further capacity.
  */
 static bool
-placement_may_roll(struct placement *p, const struct doc_model *m)
+placement_may_load(struct placement *p, const struct doc_model *m)
 {
 	unsigned int all, ready, most;
 
 	if (placement_is_bad(p, m) || p->load_credit < 1)
 		return false;
-	ready = placement_count(p, m, &all);
+	ready = placement_count_ready(p, m, &all);
 	most = ready == 0 ? 1 : MAX(all / PLACEMENT_ROLL_DIVISOR, 1);
-	return placement_rolling(p, m) < most;
+	return placement_count_loading(p, m) < most;
 }
 
 static bool
@@ -294,7 +294,7 @@
 		engine_want_old(e, want, n, m);
 		if (engine_ordered(e, m) && !placement_is_bad(p, m)) {
 			engine_want(want, n, m->name, m->version);
-		} else if (placement_may_roll(p, m)) {
+		} else if (placement_may_load(p, m)) {
 			p->load_credit -= 1;
 			p->loads++;
 			engine_want(want, n, m->name, m->version);
@@ -318,7 +318,7 @@
 }
 
 static void
-placement_credit(struct placement *p, msec now)
+placement_refill_credit(struct placement *p, msec now)
 {
 	p->load_credit += (double)(now - p->credit_at) *
 			  PLACEMENT_LOADS_PER_MINUTE / (60.0 * MSEC_SECOND);
@@ -336,7 +336,7 @@
 	if (!e->known || e->leaving || !engine_plan(p, e, want, &n))
 		return;
 	again = e->ordered_at == MSEC_NEVER ||
-		now - e->ordered_at >= PLACEMENT_ORDER_AGAIN;
+		now - e->ordered_at >= PLACEMENT_ORDER_RESEND_MS;
 	if (n == e->nwant && memcmp(want, e->want, n * sizeof *want) == 0 &&
 	    (!again || engine_matches(e, want, n)))
 		return;
@@ -359,7 +359,7 @@
 {
 	struct placement_engine *e;
 
-	placement_credit(p, now);
+	placement_refill_credit(p, now);
 	TAILQ_FOREACH (e, &p->engines, entry)
 		engine_round(p, e, now);
 }
--- a/placement.h
+++ b/placement.h
@@ -22,7 +22,7 @@
 #define PLACEMENT_LOADS_PER_MINUTE 30
 #define PLACEMENT_LOADS_BURST 4
 /* An order whose result the engine does not report is sent again after this. */
-#define PLACEMENT_ORDER_AGAIN (3 * MSEC_SECOND)
+#define PLACEMENT_ORDER_RESEND_MS (3 * MSEC_SECOND)
 
 enum placement_load {
 	PLACEMENT_READY,
@@ -95,10 +95,10 @@
  */
 void placement_engines_begin(struct placement *);
 void
-placement_engine_is(struct placement *, name_id, bool fenced, bool leaving);
+placement_engine_set(struct placement *, name_id, bool fenced, bool leaving);
 void placement_engines_end(struct placement *);
 /* Records the models that an engine reports. */
-void placement_state(
+void placement_engine_state(
     struct placement *, name_id, const struct placement_model *, unsigned int);
 /* Sends the orders that are due. */
 void placement_round(struct placement *, msec);
--- a/relay.c
+++ b/relay.c
@@ -15,10 +15,10 @@
  * confirmation until this node reads itself, and between reads during a burst
  * of changes.
  */
-#define RELAY_READ_PERCENT 60
-#define RELAY_ASK_PERCENT 75
-#define RELAY_AGAIN_PERCENT 25
-#define RELAY_ALONE_PERCENT 150
+#define RELAY_READER_PERCENT 60
+#define RELAY_POLL_PERCENT 75
+#define RELAY_REPOLL_PERCENT 25
+#define RELAY_UNCONFIRMED_PERCENT 150
 #define RELAY_BURST_PERCENT 50
 /*
  * Delay of a read after failures, in percent of `every`: doubled from the least
@@ -27,34 +27,35 @@
  * kept, so that no such period ends between two calls to an unreachable
  * platform.
  */
-#define RELAY_RETRY_LEAST_PERCENT 25
-#define RELAY_RETRY_MOST_PERCENT 60
+#define RELAY_RETRY_MIN_PERCENT 25
+#define RELAY_RETRY_MAX_PERCENT 60
 /* Nodes that polled within this multiple of `every` are notified of changes. */
-#define RELAY_ASKER_TIMES 3
+#define RELAY_NOTIFY_TIMES 3
 /*
  * A node that polled twice within this multiple of `every` uses the local node
  * as its reader.
  */
-#define RELAY_ASKED_TIMES 2
+#define RELAY_POLLED_TIMES 2
 /*
  * Queries without a recent reply until the next candidate is polled, and for
  * how long it is, in multiples of `every`.
  */
-#define RELAY_VAIN 3
-#define RELAY_TURN_TIMES 20
+#define RELAY_UNCONFIRMED_MAX 3
+#define RELAY_CANDIDATE_TIMES 20
 /* Age on the wire of a subject that was never confirmed. */
-#define RELAY_NEVER UINT32_MAX
+#define RELAY_AGE_UNKNOWN UINT32_MAX
 
 void
-relay_forget(struct relay *r)
+relay_drop_confirmations(struct relay *r)
 {
 	unsigned int i;
 
 	for (i = 0; i < RELAY_SUBJECTS; i++)
-		r->known[i] = (struct relay_known){ .mark = r->known[i].mark,
-			.proven = MSEC_NEVER,
-			.asked = -1,
-			.look = -1 };
+		r->known[i] =
+		    (struct relay_freshness){ .mark = r->known[i].mark,
+			    .confirmed = MSEC_NEVER,
+			    .asked = -1,
+			    .differed = -1 };
 }
 
 void
@@ -64,7 +65,7 @@
 	*r = (struct relay){
 		.ops = ops, .self = self, .every = every, .reader = self
 	};
-	relay_forget(r);
+	relay_drop_confirmations(r);
 }
 
 static uint64_t
@@ -103,18 +104,18 @@
 
 /* Sets the reader to the current candidate; a new one is polled at once. */
 static void
-relay_ask_turn(struct relay *r)
+relay_set_reader(struct relay *r)
 {
-	name_id reader = r->candidates[r->turn];
+	name_id reader = r->candidates[r->current];
 
 	if (reader == 0) {
-		r->turn = 0;
+		r->current = 0;
 		reader = r->candidates[0] != 0 ? r->candidates[0] : r->self;
 	}
 	if (reader == r->reader)
 		return;
 	r->reader = reader;
-	r->vain = 0;
+	r->unconfirmed = 0;
 	r->next_ask = 0;
 }
 
@@ -124,22 +125,23 @@
  * is refused by the platform, or dead and still listed as a member.
  */
 static void
-relay_judge(struct relay *r, msec now)
+relay_check_reader(struct relay *r, msec now)
 {
-	if (r->turn != 0 && now - r->turned >= r->every * RELAY_TURN_TIMES) {
-		r->turn = 0;
-		relay_ask_turn(r);
+	if (r->current != 0 &&
+	    now - r->switched_at >= r->every * RELAY_CANDIDATE_TIMES) {
+		r->current = 0;
+		relay_set_reader(r);
 		return;
 	}
 	if (r->reader == r->self)
-		r->vain = r->known[RELAY_TABLE].failures;
+		r->unconfirmed = r->known[RELAY_CONFIGURATION].failures;
 	else if (r->seq != 0 && !r->answered)
-		r->vain++;
-	if (r->vain < RELAY_VAIN)
+		r->unconfirmed++;
+	if (r->unconfirmed < RELAY_UNCONFIRMED_MAX)
 		return;
-	r->turn = (r->turn + 1) % RELAY_CANDIDATES;
-	r->turned = now;
-	relay_ask_turn(r);
+	r->current = (r->current + 1) % RELAY_CANDIDATES;
+	r->switched_at = now;
+	relay_set_reader(r);
 }
 
 /*
@@ -165,17 +167,17 @@
 			break;
 	}
 	if (r->candidates[0] != first)
-		r->turn = 0;
-	relay_ask_turn(r);
+		r->current = 0;
+	relay_set_reader(r);
 }
 
 /* ---- local state ---- */
 
 static void
-relay_fill(const struct relay *r, msec now, uint32_t seq, sp_msg *msg)
+relay_encode_marks(const struct relay *r, msec now, uint32_t seq, sp_msg *msg)
 {
 	sp_relay_tell *t = &msg->sp_msg_u.relay_tell;
-	const struct relay_known *k;
+	const struct relay_freshness *k;
 	unsigned int i;
 
 	msg->kind = SP_RELAY_TELL;
@@ -183,60 +185,60 @@
 	for (i = 0; i < RELAY_SUBJECTS; i++) {
 		k = &r->known[i];
 		t->known[i].mark = k->mark;
-		t->known[i].age_ms = k->proven == MSEC_NEVER
-					 ? RELAY_NEVER
-					 : (u_int)(now - k->proven);
+		t->known[i].age_ms = k->confirmed == MSEC_NEVER
+					 ? RELAY_AGE_UNKNOWN
+					 : (u_int)(now - k->confirmed);
 	}
 }
 
 static void
-relay_tell_askers(struct relay *r, msec now, enum relay_subject s)
+relay_notify_pollers(struct relay *r, msec now, enum relay_subject s)
 {
-	name_id askers[G_N_ELEMENTS(r->askers)];
+	name_id pollers[G_N_ELEMENTS(r->pollers)];
 	sp_msg msg = { 0 };
 	unsigned int i, n = 0;
 
-	relay_fill(r, now, 0, &msg);
-	for (i = 0; i < G_N_ELEMENTS(r->askers); i++) {
-		if (r->askers[i].node != 0 &&
-		    now - r->askers[i].at <= r->every * RELAY_ASKER_TIMES)
-			askers[n++] = r->askers[i].node;
+	relay_encode_marks(r, now, 0, &msg);
+	for (i = 0; i < G_N_ELEMENTS(r->pollers); i++) {
+		if (r->pollers[i].node != 0 &&
+		    now - r->pollers[i].at <= r->every * RELAY_NOTIFY_TIMES)
+			pollers[n++] = r->pollers[i].node;
 	}
-	r->ops->news(r, s, askers, n);
+	r->ops->news(r, s, pollers, n);
 	for (i = 0; i < n; i++)
-		r->ops->send(r, askers[i], &msg);
+		r->ops->send(r, pollers[i], &msg);
 }
 
 void
-relay_read(
+relay_read_succeeded(
     struct relay *r, msec now, enum relay_subject s, uint64_t mark, msec asked)
 {
-	struct relay_known *k = &r->known[s];
-	bool changed = k->proven != MSEC_NEVER && k->mark != mark;
+	struct relay_freshness *k = &r->known[s];
+	bool changed = k->confirmed != MSEC_NEVER && k->mark != mark;
 
 	k->mark = mark;
 	k->failures = 0;
-	if (k->proven == MSEC_NEVER || asked > k->proven)
-		k->proven = asked;
-	relay_read_in_vain(r, s, asked);
+	if (k->confirmed == MSEC_NEVER || asked > k->confirmed)
+		k->confirmed = asked;
+	relay_read_unusable(r, s, asked);
 	if (changed) {
 		r->counters.news++;
-		relay_tell_askers(r, now, s);
+		relay_notify_pollers(r, now, s);
 	}
 }
 
 void
-relay_took(struct relay *r, enum relay_subject s, uint64_t mark)
+relay_state_received(struct relay *r, enum relay_subject s, uint64_t mark)
 {
 	if (r->known[s].mark == mark)
 		return;
 	r->known[s].mark = mark;
 	/* The reader's next reply confirms the new mark. */
-	r->known[s].look = -1;
+	r->known[s].differed = -1;
 }
 
 void
-relay_read_in_vain(struct relay *r, enum relay_subject s, msec asked)
+relay_read_unusable(struct relay *r, enum relay_subject s, msec asked)
 {
 	r->known[s].asked = MAX(r->known[s].asked, asked);
 	r->known[s].failures = 0;
@@ -245,12 +247,12 @@
 void
 relay_read_failed(struct relay *r, msec now, enum relay_subject s)
 {
-	struct relay_known *k = &r->known[s];
-	msec wait = r->every * RELAY_RETRY_LEAST_PERCENT / 100,
-	     most = r->every * RELAY_RETRY_MOST_PERCENT / 100;
+	struct relay_freshness *k = &r->known[s];
+	msec wait = r->every * RELAY_RETRY_MIN_PERCENT / 100,
+	     most = r->every * RELAY_RETRY_MAX_PERCENT / 100;
 
 	/* The node cannot serve before its first read: no longer delays. */
-	if (k->proven != MSEC_NEVER)
+	if (k->confirmed != MSEC_NEVER)
 		wait = MIN(wait << MIN(k->failures, 4), most);
 	k->failures++;
 	/* Jitter, so that nodes that failed together do not retry together. */
@@ -260,15 +262,15 @@
 
 /* Returns true if other nodes use the local node as their reader. */
 static bool
-relay_is_asked(const struct relay *r, msec now)
+relay_has_pollers(const struct relay *r, msec now)
 {
-	const struct relay_asker *a;
+	const struct relay_poller *a;
 	unsigned int i;
 
-	for (i = 0; i < G_N_ELEMENTS(r->askers); i++) {
-		a = &r->askers[i];
+	for (i = 0; i < G_N_ELEMENTS(r->pollers); i++) {
+		a = &r->pollers[i];
 		if (a->before != 0 &&
-		    now - a->before <= r->every * RELAY_ASKED_TIMES)
+		    now - a->before <= r->every * RELAY_POLLED_TIMES)
 			return true;
 	}
 	return false;
@@ -278,8 +280,8 @@
 static msec
 relay_due_at(const struct relay *r, msec now, enum relay_subject s)
 {
-	const struct relay_known *k = &r->known[s];
-	msec at = k->asked + r->every * RELAY_READ_PERCENT / 100;
+	const struct relay_freshness *k = &r->known[s];
+	msec at = k->asked + r->every * RELAY_READER_PERCENT / 100;
 
 	if (k->asked < 0)
 		return 0;
@@ -288,20 +290,21 @@
 	 * contain the change. Changes come in bursts, so one read serves
 	 * several of them.
 	 */
-	if (k->look > k->asked)
+	if (k->differed > k->asked)
 		return k->asked + r->every * RELAY_BURST_PERCENT / 100;
 	/* No read has given a usable state yet. */
-	if (k->proven == MSEC_NEVER)
+	if (k->confirmed == MSEC_NEVER)
 		return k->asked + r->every;
-	if (r->reader == r->self || relay_is_asked(r, now))
+	if (r->reader == r->self || relay_has_pollers(r, now))
 		return at;
-	return MAX(at, k->proven + r->every * RELAY_ALONE_PERCENT / 100);
+	return MAX(
+	    at, k->confirmed + r->every * RELAY_UNCONFIRMED_PERCENT / 100);
 }
 
 msec
 relay_due(const struct relay *r, msec now, enum relay_subject s)
 {
-	const struct relay_known *k = &r->known[s];
+	const struct relay_freshness *k = &r->known[s];
 	msec at = relay_due_at(r, now, s);
 
 	if (k->failures > 0)
@@ -312,13 +315,13 @@
 /* ---- messages ---- */
 
 static void
-relay_note_asker(struct relay *r, msec now, name_id node)
+relay_note_poller(struct relay *r, msec now, name_id node)
 {
-	struct relay_asker *a, *oldest = &r->askers[0];
+	struct relay_poller *a, *oldest = &r->pollers[0];
 	unsigned int i;
 
-	for (i = 0; i < G_N_ELEMENTS(r->askers); i++) {
-		a = &r->askers[i];
+	for (i = 0; i < G_N_ELEMENTS(r->pollers); i++) {
+		a = &r->pollers[i];
 		if (a->node == node) {
 			a->before = a->at;
 			a->at = now;
@@ -327,7 +330,7 @@
 		if (a->at < oldest->at)
 			oldest = a;
 	}
-	*oldest = (struct relay_asker){ node, now, 0 };
+	*oldest = (struct relay_poller){ node, now, 0 };
 }
 
 /*
@@ -338,25 +341,25 @@
  * delayed, or the local process paused.
  */
 static void
-relay_take(struct relay *r, msec now, enum relay_subject s,
+relay_compare_mark(struct relay *r, msec now, enum relay_subject s,
     const sp_relay_known *told, bool answer)
 {
-	struct relay_known *k = &r->known[s];
+	struct relay_freshness *k = &r->known[s];
 	msec then;
 
-	if (told->age_ms == RELAY_NEVER || k->proven == MSEC_NEVER)
+	if (told->age_ms == RELAY_AGE_UNKNOWN || k->confirmed == MSEC_NEVER)
 		return;
 	if (told->mark != k->mark) {
-		k->look = now;
-		r->ops->look(r, s, now);
+		k->differed = now;
+		r->ops->differed(r, s, now);
 		return;
 	}
 	then = r->asked - told->age_ms;
-	if (!answer || then <= k->proven)
+	if (!answer || then <= k->confirmed)
 		return;
-	k->proven = then;
+	k->confirmed = then;
 	r->counters.proofs++;
-	r->ops->proven(r, s, then);
+	r->ops->confirmed(r, s, then);
 }
 
 /*
@@ -364,15 +367,16 @@
  * state, since in a new deployment no node has any yet.
  */
 static unsigned int
-relay_vain(const struct relay *r, u_int age_ms)
+relay_unconfirmed(const struct relay *r, u_int age_ms)
 {
-	if (r->known[RELAY_TABLE].proven == MSEC_NEVER)
+	if (r->known[RELAY_CONFIGURATION].confirmed == MSEC_NEVER)
 		return 0;
-	return age_ms <= r->every ? 0 : r->vain + 1;
+	return age_ms <= r->every ? 0 : r->unconfirmed + 1;
 }
 
 static void
-relay_told(struct relay *r, msec now, name_id from, const sp_relay_tell *t)
+relay_receive_marks(
+    struct relay *r, msec now, name_id from, const sp_relay_tell *t)
 {
 	bool answer = from == r->reader && t->seq != 0 && t->seq == r->seq;
 	unsigned int i;
@@ -380,13 +384,14 @@
 	r->counters.told++;
 	if (answer) {
 		r->answered = true;
-		r->vain = relay_vain(r, t->known[RELAY_TABLE].age_ms);
-		if (r->vain == 0)
+		r->unconfirmed =
+		    relay_unconfirmed(r, t->known[RELAY_CONFIGURATION].age_ms);
+		if (r->unconfirmed == 0)
 			r->next_ask =
-			    r->asked + r->every * RELAY_ASK_PERCENT / 100;
+			    r->asked + r->every * RELAY_POLL_PERCENT / 100;
 	}
 	for (i = 0; i < RELAY_SUBJECTS; i++)
-		relay_take(r, now, i, &t->known[i], answer);
+		relay_compare_mark(r, now, i, &t->known[i], answer);
 }
 
 void
@@ -396,12 +401,12 @@
 
 	switch (msg->kind) {
 	case SP_RELAY_ASK:
-		relay_note_asker(r, now, from);
-		relay_fill(r, now, msg->sp_msg_u.relay_ask.seq, &reply);
+		relay_note_poller(r, now, from);
+		relay_encode_marks(r, now, msg->sp_msg_u.relay_ask.seq, &reply);
 		r->ops->send(r, from, &reply);
 		break;
 	case SP_RELAY_TELL:
-		relay_told(r, now, from, &msg->sp_msg_u.relay_tell);
+		relay_receive_marks(r, now, from, &msg->sp_msg_u.relay_tell);
 		break;
 	default:
 		break;
@@ -415,10 +420,10 @@
 
 	if (now < r->next_ask)
 		return r->next_ask;
-	relay_judge(r, now);
+	relay_check_reader(r, now);
 	r->next_ask = now + r->every *
-				(r->reader == r->self ? RELAY_ASK_PERCENT
-						      : RELAY_AGAIN_PERCENT) /
+				(r->reader == r->self ? RELAY_POLL_PERCENT
+						      : RELAY_REPOLL_PERCENT) /
 				100;
 	if (r->reader == r->self)
 		return r->next_ask;
--- a/relay.h
+++ b/relay.h
@@ -31,23 +31,23 @@
 
 /* State whose freshness is checked. */
 enum relay_subject {
-	RELAY_TABLE,   /* configuration; its mark is the version */
-	RELAY_SERVERS, /* list of servers; its mark is servers_mark() */
+	RELAY_CONFIGURATION, /* configuration; its mark is the version */
+	RELAY_SERVERS,	     /* list of servers; its mark is servers_mark() */
 	RELAY_SUBJECTS
 };
 
 /* Freshness of one subject on this node. */
-struct relay_known {
-	uint64_t mark; /* identifies the local state */
-	msec proven;   /* last confirmed as current; MSEC_NEVER: never */
-	msec asked;    /* start of this node's last finished read; -1: none */
-	msec look;     /* last message with another mark; -1: none */
+struct relay_freshness {
+	uint64_t mark;	/* identifies the local state */
+	msec confirmed; /* last confirmed as current; MSEC_NEVER: never */
+	msec asked;	/* start of this node's last finished read; -1: none */
+	msec differed;	/* last message with another mark; -1: none */
 	unsigned int failures; /* consecutive failed reads of this node */
 	msec retry_at;	       /* no read before this, after failures */
 };
 
 /* A node that polls this node; it is notified of changes for a while. */
-struct relay_asker {
+struct relay_poller {
 	name_id node;
 	msec at;     /* last query */
 	msec before; /* the query before that one; 0: none */
@@ -73,9 +73,9 @@
 	 */
 	void (*send)(struct relay *, name_id, const sp_msg *);
 	/* The local state of the subject was current at `then`. */
-	void (*proven)(struct relay *, enum relay_subject, msec then);
+	void (*confirmed)(struct relay *, enum relay_subject, msec then);
 	/* Another node reported a different mark: see relay_due(). */
-	void (*look)(struct relay *, enum relay_subject, msec);
+	void (*differed)(struct relay *, enum relay_subject, msec);
 	/*
 	 * A read of this node found a change, and these nodes are about to be
 	 * notified. If the change itself is sent to them now, they do not have
@@ -90,17 +90,18 @@
 	const struct relay_ops *ops;
 	name_id self;
 	msec every; /* target for the maximum age of a confirmation */
-	struct relay_known known[RELAY_SUBJECTS];
+	struct relay_freshness known[RELAY_SUBJECTS];
 	name_id reader; /* node that is polled; `self`: this node reads */
 	name_id candidates[RELAY_CANDIDATES]; /* by weight; 0: none */
-	unsigned int turn;		      /* index of the current one */
-	msec turned;			      /* when `turn` was advanced */
-	unsigned int vain; /* consecutive queries without a recent reply */
-	bool answered;	   /* the last query has a reply */
-	uint32_t seq;	   /* of the last query */
-	msec asked;	   /* when the last query was sent */
+	unsigned int current;		      /* index of the current one */
+	msec switched_at;		      /* when `turn` was advanced */
+	unsigned int
+	    unconfirmed; /* consecutive queries without a recent reply */
+	bool answered;	 /* the last query has a reply */
+	uint32_t seq;	 /* of the last query */
+	msec asked;	 /* when the last query was sent */
 	msec next_ask;
-	struct relay_asker askers[RELAY_GROUP_NODES];
+	struct relay_poller pollers[RELAY_GROUP_NODES];
 	struct relay_counters counters;
 	void *arg; /* for the caller */
 };
@@ -118,10 +119,10 @@
  * state that is now in use. If it changed, nodes that polled this node recently
  * are notified.
  */
-void relay_read(
+void relay_read_succeeded(
     struct relay *, msec now, enum relay_subject, uint64_t mark, msec asked);
 /* A read succeeded, but its result cannot be used. */
-void relay_read_in_vain(struct relay *, enum relay_subject, msec asked);
+void relay_read_unusable(struct relay *, enum relay_subject, msec asked);
 /*
  * A read of this node failed. The next read is delayed, longer each time, and
  * is not made while other nodes confirm the local state. Otherwise, nodes that
@@ -134,12 +135,12 @@
  * State received from another node is now in use. This does not confirm that
  * it is current.
  */
-void relay_took(struct relay *, enum relay_subject, uint64_t mark);
+void relay_state_received(struct relay *, enum relay_subject, uint64_t mark);
 /*
  * Drops all confirmations, including those from other nodes: everything must
  * be read again. The marks of the local state are kept until then.
  */
-void relay_forget(struct relay *);
+void relay_drop_confirmations(struct relay *);
 /* Handles a message of kind SP_RELAY_ASK or SP_RELAY_TELL. */
 void relay_receive(struct relay *, msec now, name_id from, const sp_msg *);
 /* Sends a query if one is due; returns the time of the next call. */
--- a/server-choose.c
+++ b/server-choose.c
@@ -19,9 +19,9 @@
  * Weight of reading a shared prefix again: it costs more than its own time, as
  * it delays all other streams of the server.
  */
-#define CHOOSE_AGAIN_TIMES 10.0
+#define CHOOSE_REREAD_FACTOR 10.0
 /* How long a server's cache holds a prompt after its last use. */
-#define CHOOSE_KEPT_MS 15000
+#define CHOOSE_CACHED_MS 15000
 /*
  * Cost of each running request to the others, in milliseconds. Under twice the
  * load, 18 instead of 6 gains 0.007 of worth (four sites of 9 to 18 servers,
@@ -50,7 +50,7 @@
 #define CHOOSE_MIX_LONG_MS 8000.0
 
 static bool
-wish_avoids(const struct server_wish *w, name_id id)
+wish_excludes(const struct server_wish *w, name_id id)
 {
 	unsigned int i;
 
@@ -97,7 +97,7 @@
 }
 
 static bool
-choose_sees(
+choose_in_view(
     const struct server *v, name_id service, const struct server_view *view)
 {
 	return v->service == service && v->state == SERVER_READY &&
@@ -111,45 +111,46 @@
  * requests, and they would spread over all other servers.
  */
 static bool
-choose_keeps(
+choose_is_unthrottled(
     const struct server *v, name_id service, const struct server_view *view)
 {
-	return choose_sees(v, service, view) &&
+	return choose_in_view(v, service, view) &&
 	       !server_rate_is_short(&v->rate, view->now);
 }
 
 unsigned int
-servers_kept(struct servers *s, name_id service, const struct server_view *view)
+servers_count_unthrottled(
+    struct servers *s, name_id service, const struct server_view *view)
 {
 	struct server *v;
 	unsigned int n = 0;
 
 	RB_FOREACH (v, server_tree, &s->tree)
-		n += choose_keeps(v, service, view);
+		n += choose_is_unthrottled(v, service, view);
 	return n;
 }
 
 unsigned int
-servers_ready(
+servers_count_ready(
     struct servers *s, name_id service, const struct server_view *view)
 {
 	struct server *v;
 	unsigned int n = 0;
 
 	RB_FOREACH (v, server_tree, &s->tree)
-		n += choose_sees(v, service, view);
+		n += choose_in_view(v, service, view);
 	return n;
 }
 
 bool
-servers_have_another(struct servers *s, const struct server_wish *w)
+servers_have_alternative(struct servers *s, const struct server_wish *w)
 {
 	const struct server_view whole = { .groups = 1 };
 	struct server *v;
 
 	RB_FOREACH (v, server_tree, &s->tree) {
-		if (choose_sees(v, w->service, &whole) && v->rate.per_s == 0 &&
-		    !wish_avoids(w, v->id))
+		if (choose_in_view(v, w->service, &whole) &&
+		    v->rate.per_s == 0 && !wish_excludes(w, v->id))
 			return true;
 	}
 	return false;
@@ -171,7 +172,7 @@
 	if (most == 0)
 		return 0;
 	RB_FOREACH (v, server_tree, &s->tree) {
-		if (!choose_keeps(v, service, view))
+		if (!choose_is_unthrottled(v, service, view))
 			continue;
 		if (n == most && v->rank >= ranks[n - 1])
 			continue;
@@ -197,7 +198,7 @@
 	if (w->prompt == 0)
 		return NULL;
 	RB_FOREACH (v, server_tree, &s->tree) {
-		if (!choose_keeps(v, w->service, view) ||
+		if (!choose_is_unthrottled(v, w->service, view) ||
 		    (v->rank <= quiet_rank) != view->light)
 			continue;
 		weight = choose_weight(v, w->prompt);
@@ -216,20 +217,20 @@
  * server, and uses the records of its own requests for the other servers.
  */
 static bool
-choose_has(struct servers *s, const struct server *v, msec now,
+choose_has_prompt(struct servers *s, const struct server *v, msec now,
     const struct server_wish *w, const struct server_view *view,
     const struct server *home)
 {
 	if (view->all && server_memory_has(&s->all_memory, now, v->id,
-			     w->prompt, CHOOSE_KEPT_MS))
+			     w->prompt, CHOOSE_CACHED_MS))
 		return true;
 	if (view->all && !view->young)
 		return false;
 	/* A new home server cannot have read the prompt for other nodes. */
-	if (v == home && v->new_at != 0 && now - v->new_at < CHOOSE_KEPT_MS)
+	if (v == home && v->new_at != 0 && now - v->new_at < CHOOSE_CACHED_MS)
 		home = NULL;
 	return v == home || server_memory_has(&s->memory, now, v->id, w->prompt,
-				CHOOSE_KEPT_MS);
+				CHOOSE_CACHED_MS);
 }
 
 /*
@@ -254,8 +255,8 @@
 	const struct server_load *l = view->all ? &v->all : &v->own;
 	double tokens = (double)l->unread + w->own, cost;
 
-	if (!choose_has(s, v, now, w, view, home))
-		tokens += w->shared * (v == home ? 1.0 : CHOOSE_AGAIN_TIMES);
+	if (!choose_has_prompt(s, v, now, w, view, home))
+		tokens += w->shared * (v == home ? 1.0 : CHOOSE_REREAD_FACTOR);
 	cost = tokens / CHOOSE_TOKENS_PER_MS + l->running * CHOOSE_RUNNING_MS;
 	cost += choose_slot_wait(v, l, view);
 	cost += v->failures * CHOOSE_FAILURE_MS;
@@ -269,7 +270,7 @@
 }
 
 msec
-server_reading(const struct server_load *l, unsigned int rank)
+server_reading_ms(const struct server_load *l, unsigned int rank)
 {
 	uint64_t tokens = 0;
 	unsigned int i;
@@ -280,7 +281,7 @@
 }
 
 msec
-servers_reading(struct servers *s, name_id service, unsigned int rank,
+servers_reading_ms(struct servers *s, name_id service, unsigned int rank,
     const struct server_view *view)
 {
 	uint64_t quiet_rank = choose_quiet_rank(s, service, view);
@@ -289,10 +290,10 @@
 	msec sum = 0;
 
 	RB_FOREACH (v, server_tree, &s->tree) {
-		if (!choose_sees(v, service, view) ||
+		if (!choose_in_view(v, service, view) ||
 		    (v->rank <= quiet_rank) != view->light || v->rate.per_s > 0)
 			continue;
-		sum += server_reading(view->all ? &v->all : &v->own, rank);
+		sum += server_reading_ms(view->all ? &v->all : &v->own, rank);
 		n++;
 	}
 	return n > 0 ? sum / n : MSEC_NEVER;
@@ -307,8 +308,8 @@
 
 	if (view->sole)
 		return server_rate_allows(
-		    &v->rate, now, view->began, view->urgent, part);
-	return server_rate_alone(&v->rate, now, view->nodes, part);
+		    &v->rate, now, view->takeover, view->urgent, part);
+	return server_rate_allows_alone(&v->rate, now, view->nodes, part);
 }
 
 /*
@@ -318,7 +319,7 @@
  * coordinator waits longer, as the other nodes try the server too.
  */
 static bool
-choose_tries(const struct server *v, msec now, const struct server_view *view)
+choose_may_try(const struct server *v, msec now, const struct server_view *view)
 {
 	msec pause = CHOOSE_TRY_MS;
 
@@ -335,7 +336,7 @@
 	msec wait, least = 0;
 
 	RB_FOREACH (v, server_tree, &s->tree) {
-		if (!choose_sees(v, service, &whole))
+		if (!choose_in_view(v, service, &whole))
 			continue;
 		if ((wait = server_rate_wait(&v->rate)) == 0)
 			return 0;
@@ -356,8 +357,8 @@
 
 	RB_FOREACH (v, server_tree, &s->tree) {
 		tie = choose_weight(v, draw);
-		if (!choose_sees(v, w->service, view) ||
-		    wish_avoids(w, v->id) || !choose_tries(v, now, view) ||
+		if (!choose_in_view(v, w->service, view) ||
+		    wish_excludes(w, v->id) || !choose_may_try(v, now, view) ||
 		    !choose_rate_allows(v, now, view, tie))
 			continue;
 		cost = choose_cost(s, v, now, w, view, home, quiet_rank);
--- a/server-limit.c
+++ b/server-limit.c
@@ -11,13 +11,13 @@
  * Bounds in parts of the target. Below the minimum, requests are refused that a
  * server could begin at once; at the whole target, requests begin late.
  */
-#define LIMIT_LEAST 0.12
-#define LIMIT_MOST 1.0
+#define LIMIT_MIN_PART 0.12
+#define LIMIT_MAX_PART 1.0
 /*
  * Initial value: a compromise between servers on which reading a prompt
  * interrupts the running streams, and servers on which it does not.
  */
-#define LIMIT_START 0.25
+#define LIMIT_INITIAL_PART 0.25
 /* Requests beyond this part of the limit are near it. */
 #define LIMIT_NEAR 0.5
 /*
@@ -36,17 +36,17 @@
  * share depends on a few replies: with ten replies, nodes refused 61% where
  * coordinators refused 83%.
  */
-#define TOLD_SMOOTH_MS 1000.0
+#define REFUSALS_SMOOTH_MS 1000.0
 /*
  * How long the recorded share is used. A dead node is detected within one or
  * two seconds, and then the next coordinator replies.
  */
-#define TOLD_FOR_MS (3 * MSEC_SECOND)
+#define REFUSALS_VALID_MS (3 * MSEC_SECOND)
 
 static double
 limit_part(const struct server_limit *l)
 {
-	return l->part > 0 ? l->part : LIMIT_START;
+	return l->part > 0 ? l->part : LIMIT_INITIAL_PART;
 }
 
 bool
@@ -56,22 +56,22 @@
 }
 
 void
-server_limit_learn(struct server_limit *l, bool late, bool pressed)
+server_limit_adjust(struct server_limit *l, bool late, bool near_limit)
 {
 	double part = limit_part(l);
 
 	if (late)
 		part -= LIMIT_STEP * (LIMIT_LATE_ONE_IN - 1);
-	else if (pressed)
+	else if (near_limit)
 		part += LIMIT_STEP;
-	l->part = CLAMP(part, LIMIT_LEAST, LIMIT_MOST);
-	l->fared++;
+	l->part = CLAMP(part, LIMIT_MIN_PART, LIMIT_MAX_PART);
+	l->adjustments++;
 }
 
 msec
 server_limit_ms(const struct server_limit *l, msec target, bool last_tier)
 {
-	double part = last_tier ? limit_part(l) : LIMIT_MOST;
+	double part = last_tier ? limit_part(l) : LIMIT_MAX_PART;
 
 	return MAX((msec)((double)target * part), 1);
 }
@@ -83,16 +83,16 @@
 }
 
 void
-server_told_note(struct server_told *t, msec now, bool away, msec wait,
-    msec ahead, msec limit)
+server_refusals_record(struct server_refusals *t, msec now, bool refused,
+    msec wait, msec ahead, msec limit)
 {
-	double keep = exp(-(double)(now - t->at) / TOLD_SMOOTH_MS);
+	double keep = exp(-(double)(now - t->at) / REFUSALS_SMOOTH_MS);
 
-	if (t->at == 0 || now - t->at > TOLD_FOR_MS)
+	if (t->at == 0 || now - t->at > REFUSALS_VALID_MS)
 		keep = 0;
-	t->away = t->away * keep + away * (1 - keep);
+	t->refused = t->refused * keep + refused * (1 - keep);
 	t->at = now;
-	if (!away)
+	if (!refused)
 		return;
 	t->wait = wait;
 	t->ahead = ahead;
@@ -100,7 +100,8 @@
 }
 
 bool
-server_told_away(const struct server_told *t, msec now, double draw)
+server_refusals_apply(const struct server_refusals *t, msec now, double draw)
 {
-	return t->at != 0 && now - t->at <= TOLD_FOR_MS && draw < t->away;
+	return t->at != 0 && now - t->at <= REFUSALS_VALID_MS &&
+	       draw < t->refused;
 }
--- a/server-limit.h
+++ b/server-limit.h
@@ -16,8 +16,8 @@
 
 /* A coordinator's limit for the quiet or the other servers of a service. */
 struct server_limit {
-	double part;	/* of the target; 0: not adjusted yet */
-	uint64_t fared; /* number of adjustments */
+	double part;	      /* of the target; 0: not adjusted yet */
+	uint64_t adjustments; /* number of adjustments */
 };
 
 /* Returns true if `ahead` is near the limit; both in ms. */
@@ -28,7 +28,7 @@
  * at low load all requests are in time whatever the limit is, and a limit
  * raised by them would admit the whole beginning of a burst.
  */
-void server_limit_learn(struct server_limit *, bool late, bool pressed);
+void server_limit_adjust(struct server_limit *, bool late, bool near_limit);
 /*
  * Returns the maximum time that may be ahead of a request, in ms. The adjusted
  * limit is applied to the least urgent tier only; the more urgent tiers are
@@ -40,19 +40,20 @@
 unsigned int server_limit_percent(const struct server_limit *);
 
 /* Recent replies of coordinators for one route, on the node that asks them. */
-struct server_told {
+struct server_refusals {
 	msec at;		 /* of the last reply; 0: none yet */
-	double away;		 /* share of refused requests, smoothed */
+	double refused;		 /* share of refused requests, smoothed */
 	msec wait, ahead, limit; /* of the last refused request, in ms */
 };
 
 /* Records a reply; `away`: the request was over the limit. */
-void server_told_note(struct server_told *, msec now, bool away, msec wait,
-    msec ahead, msec limit);
+void server_refusals_record(struct server_refusals *, msec now, bool refused,
+    msec wait, msec ahead, msec limit);
 /*
  * Returns true if a request without a coordinator's reply should be refused.
  * `draw`: a uniform random number from 0 to 1.
  */
-bool server_told_away(const struct server_told *, msec now, double draw);
+bool
+server_refusals_apply(const struct server_refusals *, msec now, double draw);
 
 #endif /* SERVER_LIMIT_H */
--- a/server-mix.c
+++ b/server-mix.c
@@ -24,7 +24,7 @@
  * changes back and forth costs 0.05 of worth at low load.
  */
 #define MIX_LIGHT_PART 0.18
-#define MIX_LIGHT_STAYS 0.22
+#define MIX_LIGHT_KEEP_PART 0.22
 /* Smoothing time of the running requests: bursts build up within seconds. */
 #define MIX_BUSY_MS 2000.0
 /*
@@ -57,7 +57,7 @@
 
 /* Updates the smoothed number of running requests. */
 static void
-mix_settle(struct mix_route *r, msec now)
+mix_update_busy(struct mix_route *r, msec now)
 {
 	double keep = exp(-(double)(now - r->busy_at) / MIX_BUSY_MS);
 
@@ -66,7 +66,7 @@
 }
 
 static bool
-mix_weigh(const struct mix *m, const struct mix_route *r)
+mix_route_is_light(const struct mix *m, const struct mix_route *r)
 {
 	double longest = 0;
 	unsigned int i;
@@ -79,11 +79,11 @@
 			longest = MAX(longest, m->routes[i].prompt_tokens);
 	}
 	return r->prompt_tokens <
-	       longest * (r->light ? MIX_LIGHT_STAYS : MIX_LIGHT_PART);
+	       longest * (r->light ? MIX_LIGHT_KEEP_PART : MIX_LIGHT_PART);
 }
 
 bool
-mix_request(struct mix *m, msec now, name_id route, msec gap_target,
+mix_record_request(struct mix *m, msec now, name_id route, msec gap_target,
     unsigned int rank, unsigned int tokens)
 {
 	struct mix_route *r = mix_find(m, route);
@@ -104,7 +104,7 @@
 	    MIX_ALPHA * (MIN(tokens, r->prompt_tokens * MIX_OUTLIER_TIMES + 1) -
 			    r->prompt_tokens);
 	for (i = 0; i < m->nroutes; i++)
-		m->routes[i].light = mix_weigh(m, &m->routes[i]);
+		m->routes[i].light = mix_route_is_light(m, &m->routes[i]);
 	return first;
 }
 
@@ -115,13 +115,13 @@
 
 	if (r == NULL)
 		return false;
-	mix_settle(r, now);
+	mix_update_busy(r, now);
 	r->running++;
 	return true;
 }
 
 void
-mix_adopt(struct mix *m, msec now, name_id route, unsigned int running)
+mix_add_running(struct mix *m, msec now, name_id route, unsigned int running)
 {
 	struct mix_route *r = mix_find(m, route);
 
@@ -139,12 +139,12 @@
 
 	if (r == NULL || r->running == 0)
 		return;
-	mix_settle(r, now);
+	mix_update_busy(r, now);
 	r->running--;
 }
 
 void
-mix_held(struct mix *m, msec held)
+mix_record_hold_time(struct mix *m, msec held)
 {
 	if (m->hold_ms <= 0)
 		m->hold_ms = (double)held;
@@ -159,12 +159,12 @@
 	return r != NULL && r->light;
 }
 
-struct server_told *
-mix_told(struct mix *m, name_id route)
+struct server_refusals *
+mix_refusals(struct mix *m, name_id route)
 {
 	struct mix_route *r = mix_find(m, route);
 
-	return r != NULL ? &r->told : NULL;
+	return r != NULL ? &r->refusals : NULL;
 }
 
 bool
@@ -206,7 +206,7 @@
 }
 
 void
-mix_demand(struct mix *m, name_id route, unsigned int tokens)
+mix_add_demand(struct mix *m, name_id route, unsigned int tokens)
 {
 	m->requests++;
 	m->tokens += tokens;
@@ -234,7 +234,7 @@
 	for (i = 0; i < m->nroutes; i++) {
 		if (!mix_is_light(m, m->routes[i].id))
 			continue;
-		mix_settle(&m->routes[i], now);
+		mix_update_busy(&m->routes[i], now);
 		busy += m->routes[i].busy;
 	}
 	if (busy <= 0.01 || servers < 2)
--- a/server-mix.h
+++ b/server-mix.h
@@ -26,14 +26,14 @@
 	unsigned int running; /* on servers now */
 	double busy;	      /* `running` smoothed over time */
 	msec busy_at;
-	struct server_told told; /* replies of coordinators */
+	struct server_refusals refusals; /* replies of coordinators */
 };
 
 /* Statistics of a service. */
 struct mix {
 	RB_ENTRY(mix) entry;
 	name_id service;
-	unsigned int servers_most; /* configured maximum; 0: none */
+	unsigned int servers_max; /* configured maximum; 0: none */
 	unsigned int nroutes;
 	struct mix_route routes[MIX_ROUTES_MAX];
 	double hold_ms; /* smoothed time of a request on a server; 0: none */
@@ -45,7 +45,7 @@
 };
 
 /* Records a request; returns true if it is the first of its route. */
-bool mix_request(struct mix *, msec, name_id route, msec gap_target,
+bool mix_record_request(struct mix *, msec, name_id route, msec gap_target,
     unsigned int rank, unsigned int tokens);
 /*
  * A request was sent to a server, or has left it. mix_started() returns false
@@ -55,23 +55,23 @@
 bool mix_started(struct mix *, msec, name_id route);
 void mix_ended(struct mix *, msec, name_id route);
 /* Adds requests of a new route that were running before it was known. */
-void mix_adopt(struct mix *, msec, name_id route, unsigned int running);
+void mix_add_running(struct mix *, msec, name_id route, unsigned int running);
 /* Records the time in ms that an answered request was on its server. */
-void mix_held(struct mix *, msec);
+void mix_record_hold_time(struct mix *, msec);
 /*
  * Returns true if the route has a gap target and its prompts are much shorter
  * than those of a route with a higher gap target; false if it is unknown.
  */
 bool mix_is_light(const struct mix *, name_id route);
 /* Replies of coordinators for a route; NULL if it is unknown. */
-struct server_told *mix_told(struct mix *, name_id route);
+struct server_refusals *mix_refusals(struct mix *, name_id route);
 /* Returns true if no route of the service is less urgent, or more urgent. */
 bool mix_is_last_tier(const struct mix *, name_id route);
 bool mix_is_first_tier(const struct mix *, name_id route);
 /* Returns true if a route of the service is more urgent than the rank. */
 bool mix_has_more_urgent(const struct mix *, unsigned int rank);
 /* Adds a request and its unread prompt tokens to the totals. */
-void mix_demand(struct mix *, name_id route, unsigned int tokens);
+void mix_add_demand(struct mix *, name_id route, unsigned int tokens);
 /* Number of running requests of the service. */
 unsigned int mix_running(const struct mix *);
 /*
--- a/server-rate.c
+++ b/server-rate.c
@@ -5,8 +5,8 @@
 #include "server-rate.h"
 
 /* Size of the token bucket: the tokens of this time, and at least two. */
-#define RATE_HOLDS_MS 200
-#define RATE_HOLDS_LEAST 2
+#define RATE_BUCKET_MS 200
+#define RATE_BUCKET_MIN 2
 /* Part of the less urgent requests that may take the last token. */
 #define RATE_LESS_URGENT_PART 0.25
 /*
@@ -21,33 +21,33 @@
 /* Part of the rate for all nodes that decide without a coordinator. */
 #define RATE_ALONE_PART 0.5
 /*
- * A longer time between two calls of server_rate_alone() means that the node
- * had a coordinator meanwhile.
+ * A longer time between two calls of server_rate_allows_alone() means that the
+ * node had a coordinator meanwhile.
  */
-#define RATE_ALONE_GAP_MS (2 * MSEC_SECOND)
+#define RATE_ALONE_MAX_GAP_MS (2 * MSEC_SECOND)
 
 void
 server_rate_reset(struct server_rate *r)
 {
-	*r = (struct server_rate){ .heard = MSEC_NEVER };
+	*r = (struct server_rate){ .received = MSEC_NEVER };
 }
 
 static double
-rate_holds(const struct server_rate *r)
+rate_bucket_size(const struct server_rate *r)
 {
-	return MAX(r->per_s * RATE_HOLDS_MS / MSEC_SECOND, RATE_HOLDS_LEAST);
+	return MAX(r->per_s * RATE_BUCKET_MS / MSEC_SECOND, RATE_BUCKET_MIN);
 }
 
 bool
-server_rate_hear(struct server_rate *r, msec now, msec then, double per_s)
+server_rate_update(struct server_rate *r, msec now, msec then, double per_s)
 {
 	bool first = r->per_s == 0;
 
-	if (r->heard != MSEC_NEVER && then < r->heard)
+	if (r->received != MSEC_NEVER && then < r->received)
 		return false;
 	if (per_s > 0)
-		per_s = MAX(per_s, SERVER_RATE_LEAST);
-	r->heard = then;
+		per_s = MAX(per_s, SERVER_RATE_MIN);
+	r->received = then;
 	if (per_s == r->per_s)
 		return false;
 	r->per_s = per_s;
@@ -58,7 +58,7 @@
 		r->filled = now;
 		r->asked = now;
 	}
-	r->tokens = MIN(r->tokens, rate_holds(r));
+	r->tokens = MIN(r->tokens, rate_bucket_size(r));
 	return true;
 }
 
@@ -67,7 +67,7 @@
 {
 	double more = part * r->per_s * (double)(now - r->filled) / MSEC_SECOND;
 
-	r->tokens = MIN(r->tokens + MAX(more, 0), rate_holds(r));
+	r->tokens = MIN(r->tokens + MAX(more, 0), rate_bucket_size(r));
 	r->filled = now;
 }
 
@@ -105,7 +105,7 @@
  * be used at the same time.
  */
 bool
-server_rate_alone(
+server_rate_allows_alone(
     struct server_rate *r, msec now, unsigned int nodes, double draw)
 {
 	msec span = now - r->asked;
@@ -113,7 +113,7 @@
 	if (r->per_s == 0)
 		return true;
 	r->asked = now;
-	if (span > RATE_ALONE_GAP_MS)
+	if (span > RATE_ALONE_MAX_GAP_MS)
 		return false;
 	return draw < RATE_ALONE_PART * r->per_s / MAX(nodes, 1) *
 			  (double)span / MSEC_SECOND;
--- a/server-rate.h
+++ b/server-rate.h
@@ -22,23 +22,24 @@
  * Minimum in requests per second: the end of a limit is seen only in responses,
  * so some requests must be sent.
  */
-#define SERVER_RATE_LEAST 0.1
+#define SERVER_RATE_MIN 0.1
 /* Limits from this value on are rejected as invalid. */
-#define SERVER_RATE_MOST 1e12
+#define SERVER_RATE_MAX 1e12
 
 /* Rate limit of a server. */
 struct server_rate {
 	double per_s; /* requests per second; 0: no limit */
-	msec heard;   /* time of the last response used; MSEC_NEVER: none yet */
+	msec
+	    received; /* time of the last response used; MSEC_NEVER: none yet */
 	msec since;   /* last change of per_s */
-	uint64_t sent; /* requests of this node since then */
-	bool odd;      /* the server has sent an unreadable limit */
+	uint64_t sent;	 /* requests of this node since then */
+	bool unreadable; /* the server has sent an unreadable limit */
 	/* As coordinator: token bucket. */
 	double tokens;
 	msec filled;
 	msec refused; /* the last request without a token; 0: none */
 	/* Without a coordinator. */
-	msec asked; /* last call of server_rate_alone() */
+	msec asked; /* last call of server_rate_allows_alone() */
 };
 
 /* Clears the limit, as for a new process of the server. */
@@ -47,7 +48,8 @@
  * Sets the limit from a response received at `then`; 0: no limit. Returns false
  * if nothing changes, also for a response older than the last one used.
  */
-bool server_rate_hear(struct server_rate *, msec now, msec then, double per_s);
+bool
+server_rate_update(struct server_rate *, msec now, msec then, double per_s);
 /*
  * As coordinator: returns true if a request may be sent now. A young
  * coordinator uses half the rate, as the previous one may still be active. Most
@@ -64,8 +66,8 @@
  * Without a coordinator: returns true if this node, one of `nodes`, may send a
  * request now. `draw`: uniform from 0 to 1.
  */
-bool
-server_rate_alone(struct server_rate *, msec, unsigned int nodes, double draw);
+bool server_rate_allows_alone(
+    struct server_rate *, msec, unsigned int nodes, double draw);
 /* Mean time between two requests at this rate, in ms; 0: no limit. */
 msec server_rate_wait(const struct server_rate *);
 
--- a/server.c
+++ b/server.c
@@ -19,19 +19,19 @@
 #define SERVER_REST_MS 500
 #define SERVER_REST_MAX_MS (4 * MSEC_SECOND)
 /* Decay time of the counts in struct server_reach. */
-#define REACH_MS 1000
+#define REACH_DECAY_MS 1000
 /*
  * The node has lost its network access if connections to this many servers
  * timed out, and timeouts outnumber successes by this factor: if only some
  * servers crash together, others still respond.
  */
 #define REACH_SERVERS 3
-#define REACH_TIMES 3
+#define REACH_FACTOR 3
 /*
  * Minimum timeouts: with fewer, a node with few requests may have chosen only
  * crashed servers.
  */
-#define REACH_MISSES 2
+#define REACH_MISSES_MIN 2
 
 RB_GENERATE(server_tree, server, entry, server_compare)
 
@@ -76,13 +76,13 @@
 
 /* Clears measurements that belong to the server's previous process. */
 static void
-server_forget(struct server *v)
+server_reset(struct server *v)
 {
 	v->failures = 0;
 	v->resting_until = 0;
 	v->down = false;
 	v->first_ms = 0;
-	v->heard = 0;
+	v->received = 0;
 	server_rate_reset(&v->rate);
 	memset(v->begun_sent, 0, sizeof v->begun_sent);
 }
@@ -98,7 +98,7 @@
 	server_set_rank(v);
 	server_rate_reset(&v->rate);
 	v->born = e->born;
-	v->new_at = s->whole ? now : 0;
+	v->new_at = s->complete ? now : 0;
 	v->address = e->address;
 	v->port = e->port;
 	RB_INSERT(server_tree, &s->tree, v);
@@ -120,7 +120,7 @@
 	if (v == NULL)
 		v = servers_add(s, now, e, id);
 	/* The entry of the previous process, from an older list. */
-	if (now < s->doubted_until && e->born != 0 && e->born < v->born)
+	if (now < s->gone_kept_until && e->born != 0 && e->born < v->born)
 		return;
 	anew = (e->born != 0 && e->born != v->born) ||
 	       e->address != v->address || e->port != v->port;
@@ -134,12 +134,12 @@
 	v->missing = false;
 	if (anew) {
 		log_info_of(LOG_NODE, v->name, "%s restarted", v->name);
-		server_forget(v);
+		server_reset(v);
 		v->starts++;
 		v->new_at = now;
 		v->born = e->born;
 	}
-	if (v->state == SERVER_GONE && !anew && now < s->doubted_until) {
+	if (v->state == SERVER_GONE && !anew && now < s->gone_kept_until) {
 		v->listed_again = !e->draining;
 		return;
 	}
@@ -156,7 +156,7 @@
 }
 
 static void
-server_end(struct servers *s, struct server *v, msec now)
+server_set_gone(struct servers *s, struct server *v, msec now)
 {
 	if (v->state == SERVER_GONE)
 		return;
@@ -168,9 +168,9 @@
 }
 
 void
-servers_set_whole(struct servers *s)
+servers_set_complete(struct servers *s)
 {
-	s->whole = true;
+	s->complete = true;
 }
 
 void
@@ -183,8 +183,8 @@
 	v->listed_again = false;
 	if (v->state == SERVER_GONE)
 		return;
-	if (now >= s->held_until) {
-		server_end(s, v, now);
+	if (now >= s->unlisted_kept_until) {
+		server_set_gone(s, v, now);
 		return;
 	}
 	log_info_of(LOG_NODE, v->name, "%s not listed, kept for now", v->name);
@@ -193,21 +193,21 @@
 }
 
 void
-servers_hold(struct servers *s, msec until)
+servers_keep_unlisted(struct servers *s, msec until)
 {
-	s->held_until = MAX(s->held_until, until);
+	s->unlisted_kept_until = MAX(s->unlisted_kept_until, until);
 }
 
 void
-servers_doubt(struct servers *s, msec until)
+servers_keep_gone(struct servers *s, msec until)
 {
-	s->doubted_until = MAX(s->doubted_until, until);
+	s->gone_kept_until = MAX(s->gone_kept_until, until);
 }
 
 void
-servers_remember(struct servers *s, msec span)
+servers_set_retention(struct servers *s, msec span)
 {
-	s->remember = span;
+	s->retention = span;
 }
 
 enum server_state
@@ -241,9 +241,9 @@
 	return mark;
 }
 
-/* The server was still listed at the end of servers_doubt(). */
+/* The server was still listed at the end of servers_keep_gone(). */
 static void
-server_return(struct servers *s, struct server *v)
+server_set_ready(struct servers *s, struct server *v)
 {
 	log_info_of(LOG_NODE, v->name, "%s added again", v->name);
 	v->listed_again = false;
@@ -257,25 +257,25 @@
 	struct server *v, *next;
 
 	RB_FOREACH_SAFE (v, server_tree, &s->tree, next) {
-		if (v->missing && now >= s->held_until)
-			server_end(s, v, now);
-		if (v->listed_again && now >= s->doubted_until)
-			server_return(s, v);
+		if (v->missing && now >= s->unlisted_kept_until)
+			server_set_gone(s, v, now);
+		if (v->listed_again && now >= s->gone_kept_until)
+			server_set_ready(s, v);
 		if (v->state == SERVER_GONE && v->links == 0 &&
-		    !v->listed_again && now - v->gone_since >= s->remember)
+		    !v->listed_again && now - v->gone_since >= s->retention)
 			servers_remove(s, v);
 	}
 }
 
 void
-server_learn(struct server *v, msec now, enum server_result how)
+server_record_result(struct server *v, msec now, enum server_result how)
 {
 	unsigned int n;
 
-	if (how != SERVER_UNKNOWN)
+	if (how != SERVER_NO_RESULT)
 		v->down = how == SERVER_DOWN;
 	switch (how) {
-	case SERVER_WELL:
+	case SERVER_ANSWERED:
 		v->failures = 0;
 		v->resting_until = 0;
 		break;
@@ -296,22 +296,23 @@
 		    now + MIN(SERVER_REST_MS << n, SERVER_REST_MAX_MS);
 		break;
 	case SERVER_FULL:
-	case SERVER_UNKNOWN:
+	case SERVER_NO_RESULT:
 		break;
 	}
 }
 
 void
-server_heard(struct server *v, msec now, unsigned int rank, msec sent)
+server_response_received(
+    struct server *v, msec now, unsigned int rank, msec sent)
 {
 	rank = MIN(rank, SERVER_RANKS - 1);
-	v->heard = now;
+	v->received = now;
 	v->begun_sent[rank] = MAX(v->begun_sent[rank], sent);
 }
 
 bool
-server_forgot(const struct server *v, msec now, unsigned int rank, msec sent,
-    msec silence)
+server_lost_request(const struct server *v, msec now, unsigned int rank,
+    msec sent, msec silence)
 {
 	unsigned int i;
 
@@ -319,15 +320,15 @@
 		if (v->begun_sent[i] > sent)
 			return true;
 	}
-	return now - MAX(v->heard, sent) >= silence;
+	return now - MAX(v->received, sent) >= silence;
 }
 
 /* ---- network access of this node ---- */
 
 static void
-reach_age(struct server_reach *r, msec now)
+reach_decay(struct server_reach *r, msec now)
 {
-	double left = exp(-(double)(now - r->at) / REACH_MS);
+	double left = exp(-(double)(now - r->at) / REACH_DECAY_MS);
 
 	r->misses *= left;
 	r->answers *= left;
@@ -339,7 +340,7 @@
  * SERVER_REST_MAX_MS after them, so there is no newer result until then.
  */
 static unsigned int
-reach_missed(const struct server_reach *r, msec now)
+reach_count_missed(const struct server_reach *r, msec now)
 {
 	unsigned int i, count = 0;
 
@@ -350,7 +351,7 @@
 
 /* Index of the server in the list, or a free one, or that of the oldest. */
 static unsigned int
-reach_place(struct server_reach *r, name_id id)
+reach_index(struct server_reach *r, name_id id)
 {
 	unsigned int i, oldest = 0;
 
@@ -366,17 +367,17 @@
 void
 servers_reached(struct servers *s, msec now)
 {
-	reach_age(&s->reach, now);
+	reach_decay(&s->reach, now);
 	s->reach.answers++;
 }
 
 void
-servers_missed(struct servers *s, msec now, const struct server *v)
+servers_connect_timed_out(struct servers *s, msec now, const struct server *v)
 {
 	struct server_reach *r = &s->reach;
-	unsigned int at = reach_place(r, v->id);
+	unsigned int at = reach_index(r, v->id);
 
-	reach_age(r, now);
+	reach_decay(r, now);
 	r->misses++;
 	r->missed[at] = v->id;
 	r->missed_at[at] = now;
@@ -385,10 +386,10 @@
 bool
 servers_in_reach(struct servers *s, msec now)
 {
-	reach_age(&s->reach, now);
-	return reach_missed(&s->reach, now) < REACH_SERVERS ||
-	       s->reach.misses < REACH_MISSES ||
-	       s->reach.misses <= REACH_TIMES * s->reach.answers;
+	reach_decay(&s->reach, now);
+	return reach_count_missed(&s->reach, now) < REACH_SERVERS ||
+	       s->reach.misses < REACH_MISSES_MIN ||
+	       s->reach.misses <= REACH_FACTOR * s->reach.answers;
 }
 
 bool
--- a/server.h
+++ b/server.h
@@ -56,10 +56,10 @@
 	bool reclaimable;
 	int64_t born;
 	unsigned int starts; /* restarts of the process under this name */
-	bool missing;	     /* unlisted; SERVER_GONE after servers_hold() */
+	bool missing; /* unlisted; SERVER_GONE after servers_keep_unlisted() */
 	msec missing_since;
 	msec gone_since;
-	bool listed_again;	/* while SERVER_GONE; see servers_doubt() */
+	bool listed_again;	/* while SERVER_GONE; see servers_keep_gone() */
 	struct server_load own; /* requests of this node */
 	struct server_load all; /* of all nodes, as coordinator */
 	/* Measured by the requests of this node. */
@@ -72,12 +72,13 @@
 	 * An older request without a response was probably lost.
 	 */
 	msec begun_sent[SERVER_RANKS];
-	msec heard;		 /* last byte of a response */
+	msec received;		 /* last byte of a response */
 	double first_ms;	 /* smoothed time to a response; 0: none yet */
 	unsigned int links;	 /* connections of this node, busy and idle */
 	struct server_rate rate; /* rate limit reported by the server */
-	msec new_at; /* added after servers_set_whole(), or restarted; 0: no */
-	uint64_t told; /* server_mark() when last sent to other nodes */
+	msec new_at; /* added after servers_set_complete(), or restarted; 0: no
+		      */
+	uint64_t sent_mark; /* server_mark() when last sent to other nodes */
 	char service_name[NAME_SIZE];
 	void *arg; /* for the caller */
 };
@@ -117,10 +118,10 @@
 	unsigned int count;
 	struct server_memory memory;	 /* by requests of this node */
 	struct server_memory all_memory; /* of all nodes, as coordinator */
-	bool whole;			 /* the first list is complete */
-	msec held_until;    /* no server becomes SERVER_GONE before */
-	msec remember;	    /* how long SERVER_GONE entries are kept, in ms */
-	msec doubted_until; /* no server leaves SERVER_GONE before */
+	bool complete;			 /* the first list is complete */
+	msec unlisted_kept_until; /* no server becomes SERVER_GONE before */
+	msec retention;	      /* how long SERVER_GONE entries are kept, in ms */
+	msec gone_kept_until; /* no server leaves SERVER_GONE before */
 	struct server_reach reach;
 	void *arg; /* for the caller */
 };
@@ -132,7 +133,7 @@
 /* Adds a server or updates it by the platform's current entry. */
 void servers_list(struct servers *, msec, const struct server_entry *);
 /* The first list was read completely: servers added from now on are new. */
-void servers_set_whole(struct servers *);
+void servers_set_complete(struct servers *);
 /* The platform does not list the server any more. */
 void servers_unlist(struct servers *, msec, const char *name);
 /*
@@ -140,16 +141,17 @@
  * outage: entries expire during it although the servers are healthy, and are
  * listed again soon after it.
  */
-void servers_hold(struct servers *, msec until);
+void servers_keep_unlisted(struct servers *, msec until);
 /*
  * Keeps servers in SERVER_GONE until the given time, even if they are listed,
  * unless their process was restarted. Guards against a platform that returns an
- * older list with servers that have stopped since. servers_remember() sets for
- * how many ms SERVER_GONE entries are kept.
+ * older list with servers that have stopped since. servers_set_retention() sets
+ * for how many ms SERVER_GONE entries are kept.
  */
-void servers_doubt(struct servers *, msec until);
-void servers_remember(struct servers *, msec);
-/* State by the platform's list, without servers_hold() and servers_doubt(). */
+void servers_keep_gone(struct servers *, msec until);
+void servers_set_retention(struct servers *, msec);
+/* State by the platform's list, without servers_keep_unlisted() and
+ * servers_keep_gone(). */
 enum server_state server_listed_as(const struct server *);
 /*
  * Hash of the platform's list: the same on two nodes that have read the same
@@ -163,18 +165,19 @@
 
 /* Result of an attempt. */
 enum server_result {
-	SERVER_WELL,   /* complete response */
-	SERVER_FULL,   /* refused: the server takes no more requests now */
-	SERVER_FAILED, /* broken off, timed out or malformed response */
-	SERVER_DOWN,   /* no connection, or another server at the address */
-	SERVER_UNKNOWN /* the caller left, or this node gave up */
+	SERVER_ANSWERED, /* complete response */
+	SERVER_FULL,	 /* refused: the server takes no more requests now */
+	SERVER_FAILED,	 /* broken off, timed out or malformed response */
+	SERVER_DOWN,	 /* no connection, or another server at the address */
+	SERVER_NO_RESULT /* the caller left, or this node gave up */
 };
-void server_learn(struct server *, msec, enum server_result);
+void server_record_result(struct server *, msec, enum server_result);
 /*
  * The server sent a byte of the response to a request of this rank; `sent`:
  * when the request was sent.
  */
-void server_heard(struct server *, msec, unsigned int rank, msec sent);
+void
+server_response_received(struct server *, msec, unsigned int rank, msec sent);
 /*
  * Returns true if the server has probably lost a request without a response:
  * it has begun to respond to a later request of the same or a less urgent rank,
@@ -182,12 +185,12 @@
  * request: another server would have to read the prompt again, and the request
  * would wait again.
  */
-bool server_forgot(
+bool server_lost_request(
     const struct server *, msec, unsigned int rank, msec sent, msec silence);
 /* A connection to a server was established, or a response began. */
 void servers_reached(struct servers *, msec);
 /* A connection attempt timed out. */
-void servers_missed(struct servers *, msec, const struct server *);
+void servers_connect_timed_out(struct servers *, msec, const struct server *);
 /*
  * Returns false if connections to several servers timed out in a short time and
  * hardly any succeeded: then the network link of this node is congested or
@@ -227,19 +230,19 @@
 	unsigned int groups, group; /* of the service's servers; see place.h */
 	unsigned int nodes;	    /* number of nodes */
 	msec now;
-	bool urgent; /* no route of the service is more urgent */
-	bool began;  /* the previous coordinator may still be active */
-	bool sole;   /* as coordinator for all nodes */
+	bool urgent;   /* no route of the service is more urgent */
+	bool takeover; /* the previous coordinator may still be active */
+	bool sole;     /* as coordinator for all nodes */
 };
 
 /* Number of the service's ready servers in the view's group. */
-unsigned int
-servers_ready(struct servers *, name_id service, const struct server_view *);
+unsigned int servers_count_ready(
+    struct servers *, name_id service, const struct server_view *);
 /* The same without servers that are short of their rate limit. */
-unsigned int
-servers_kept(struct servers *, name_id service, const struct server_view *);
+unsigned int servers_count_unthrottled(
+    struct servers *, name_id service, const struct server_view *);
 /* Returns true if a ready server has no rate limit and is not excluded. */
-bool servers_have_another(struct servers *, const struct server_wish *);
+bool servers_have_alternative(struct servers *, const struct server_wish *);
 /* Returns the best server for a request, or NULL if none is available. */
 struct server *server_choose(struct servers *, msec, const struct server_wish *,
     const struct server_view *, uint32_t draw);
@@ -249,9 +252,9 @@
  */
 msec servers_rate_wait(struct servers *, name_id service);
 /* Estimated time to read the unread prompts up to a rank, in ms. */
-msec server_reading(const struct server_load *, unsigned int rank);
+msec server_reading_ms(const struct server_load *, unsigned int rank);
 /* The average over the view's servers, in ms; MSEC_NEVER: it has none. */
-msec servers_reading(struct servers *, name_id service, unsigned int rank,
+msec servers_reading_ms(struct servers *, name_id service, unsigned int rank,
     const struct server_view *);
 /* Sets the rank of a new server. */
 void server_set_rank(struct server *);
--- a/tests/test-place-changes.c
+++ b/tests/test-place-changes.c
@@ -81,9 +81,9 @@
 	w->place.arg = w;
 	place_set_nodes(&w->place, w->now, &self, 1);
 	if (most > 0)
-		place_set_most(&w->place, name_hash("model"), most);
+		place_set_max_servers(&w->place, name_hash("model"), most);
 	servers_to(w, FEW);
-	servers_set_whole(&w->servers);
+	servers_set_complete(&w->servers);
 }
 
 static void
@@ -116,8 +116,8 @@
 		place_submit(&w->place, w->now, &r);
 		g_assert_nonnull(w->chosen);
 		w->now += 5;
-		place_read(&w->place, w->now, &r);
-		place_end(&w->place, w->now, &r, SERVER_WELL);
+		place_prompt_read(&w->place, w->now, &r);
+		place_end(&w->place, w->now, &r, SERVER_ANSWERED);
 	}
 	tokens = w->place.counters.tokens - tokens;
 	kept = w->place.counters.tokens_kept - kept;
--- a/tests/test-place-rate.c
+++ b/tests/test-place-rate.c
@@ -104,7 +104,7 @@
 	struct request *q = r->arg;
 	struct world *w = ((struct node *)p->arg)->world;
 
-	if (v == NULL || place_queue_is_long(&r->queue)) {
+	if (v == NULL || place_queue_exceeds_limit(&r->queue)) {
 		w->refused++;
 		w->turned_away += v != NULL;
 		q->ends = now;
@@ -186,7 +186,7 @@
 		q = g_ptr_array_index(w->requests, k);
 		if (q->node != v)
 			continue;
-		place_end(&v->place, w->now, &q->place, SERVER_UNKNOWN);
+		place_end(&v->place, w->now, &q->place, SERVER_NO_RESULT);
 		g_free(q);
 		g_ptr_array_remove_index_fast(w->requests, k);
 	}
@@ -247,10 +247,10 @@
 	struct server *v = servers_find(&n->servers, q->place.server);
 
 	q->answers = MSEC_NEVER;
-	if (v != NULL && server_rate_hear(&v->rate, w->now, w->now,
+	if (v != NULL && server_rate_update(&v->rate, w->now, w->now,
 			     w->rates[server_index(v)]))
-		place_rate_heard(&n->place, w->now, v);
-	place_read(&n->place, w->now, &q->place);
+		place_rate_received(&n->place, w->now, v);
+	place_prompt_read(&n->place, w->now, &q->place);
 }
 
 static void
@@ -265,7 +265,7 @@
 			request_answered(w, q);
 		if (w->now < q->ends)
 			continue;
-		place_end(&q->node->place, w->now, &q->place, SERVER_WELL);
+		place_end(&q->node->place, w->now, &q->place, SERVER_ANSWERED);
 		g_free(q);
 		g_ptr_array_remove_index_fast(w->requests, i);
 	}
@@ -723,16 +723,16 @@
 	struct server_rate r;
 
 	server_rate_reset(&r);
-	g_assert_true(server_rate_hear(&r, 100, 100, 5));
-	g_assert_false(server_rate_hear(&r, 110, 90, 0));
+	g_assert_true(server_rate_update(&r, 100, 100, 5));
+	g_assert_false(server_rate_update(&r, 110, 90, 0));
 	g_assert_cmpfloat(r.per_s, ==, 5);
-	g_assert_true(server_rate_hear(&r, 120, 120, 0));
+	g_assert_true(server_rate_update(&r, 120, 120, 0));
 	g_assert_true(server_rate_allows(&r, 120, false, true, 0));
-	g_assert_true(server_rate_hear(&r, 130, 130, 0.01));
-	g_assert_cmpfloat(r.per_s, ==, SERVER_RATE_LEAST);
+	g_assert_true(server_rate_update(&r, 130, 130, 0.01));
+	g_assert_cmpfloat(r.per_s, ==, SERVER_RATE_MIN);
 	g_assert_false(server_rate_allows(&r, 130, false, true, 0));
 	g_assert_true(server_rate_allows(
-	    &r, 130 + (msec)(MSEC_SECOND / SERVER_RATE_LEAST), false, true, 0));
+	    &r, 130 + (msec)(MSEC_SECOND / SERVER_RATE_MIN), false, true, 0));
 	server_rate_reset(&r);
 	g_assert_true(server_rate_allows(&r, 140, false, true, 0));
 }
--- a/tests/test-place.c
+++ b/tests/test-place.c
@@ -261,9 +261,9 @@
 	g_assert_cmpuint(most, ==, 8);
 	/* All counts return to 0. */
 	for (i = 0; i < G_N_ELEMENTS(r); i++) {
-		place_read(&nodes[i % 8].place, clock_now, &r[i]);
+		place_prompt_read(&nodes[i % 8].place, clock_now, &r[i]);
 		place_end(
-		    &nodes[i % 8].place, clock_now, &r[i], SERVER_UNKNOWN);
+		    &nodes[i % 8].place, clock_now, &r[i], SERVER_NO_RESULT);
 	}
 	fleet_run(5);
 	for (i = 0; i < nnodes; i++) {
@@ -293,7 +293,7 @@
 		if (i == 0)
 			where = nodes[0].last->id;
 		g_assert_true(nodes[i % 8].last->id == where);
-		place_end(&nodes[i % 8].place, clock_now, &r, SERVER_UNKNOWN);
+		place_end(&nodes[i % 8].place, clock_now, &r, SERVER_NO_RESULT);
 	}
 	fleet_stop();
 }
@@ -312,7 +312,7 @@
 		place_submit(&nodes[i].place, clock_now, &r);
 		at_once = nodes[i].decided == 1;
 		fleet_run(5);
-		place_end(&nodes[i].place, clock_now, &r, SERVER_UNKNOWN);
+		place_end(&nodes[i].place, clock_now, &r, SERVER_NO_RESULT);
 		nodes[i].decided = 0;
 		if (at_once)
 			return i;
@@ -443,8 +443,8 @@
 			place_end(
 			    &nodes[i % 8].place, clock_now, &r, SERVER_DOWN);
 		} else {
-			place_end(
-			    &nodes[i % 8].place, clock_now, &r, SERVER_WELL);
+			place_end(&nodes[i % 8].place, clock_now, &r,
+			    SERVER_ANSWERED);
 		}
 	}
 	/* In 2,000 ms it is tried again now and then, not by each node. */
@@ -471,7 +471,7 @@
 		fleet_run(20);
 		g_assert_cmpuint(nodes[n].decided, ==, prompt);
 		g_assert_cmpstr(nodes[n].last->name, ==, "s1");
-		place_end(&nodes[n].place, clock_now, &r, SERVER_UNKNOWN);
+		place_end(&nodes[n].place, clock_now, &r, SERVER_NO_RESULT);
 	}
 	g_assert_cmpuint(nodes[n].place.counters.alone, >, 0);
 	fleet_stop();
@@ -495,8 +495,9 @@
 		place_submit(&nodes[i % 60].place, clock_now, &r);
 		fleet_run(4);
 		g_assert_nonnull(nodes[i % 60].last);
-		place_read(&nodes[i % 60].place, clock_now, &r);
-		place_end(&nodes[i % 60].place, clock_now, &r, SERVER_UNKNOWN);
+		place_prompt_read(&nodes[i % 60].place, clock_now, &r);
+		place_end(
+		    &nodes[i % 60].place, clock_now, &r, SERVER_NO_RESULT);
 	}
 	g_assert_cmpuint((sent - before) / 1200, <=, 4);
 	for (i = 0; i < 60; i++)
@@ -529,7 +530,7 @@
 	g_assert_cmpint(r[59].queue.wait, <=, 3100);
 	g_assert_cmpint(r[1].queue.wait, <=, 200);
 	for (i = 0; i < G_N_ELEMENTS(r); i++)
-		place_end(&nodes[i].place, clock_now, &r[i], SERVER_WELL);
+		place_end(&nodes[i].place, clock_now, &r[i], SERVER_ANSWERED);
 	fleet_stop();
 }
 
@@ -556,9 +557,9 @@
 			fleet_run(5);
 		}
 		for (i = 0; i < G_N_ELEMENTS(r); i++) {
-			place_read(&nodes[0].place, clock_now, &r[i]);
+			place_prompt_read(&nodes[0].place, clock_now, &r[i]);
 			place_end(
-			    &nodes[0].place, clock_now, &r[i], SERVER_WELL);
+			    &nodes[0].place, clock_now, &r[i], SERVER_ANSWERED);
 		}
 		fleet_run(5);
 	}
@@ -575,11 +576,11 @@
 		request_fill_last(&r, 0, 100);
 		place_submit(&nodes[0].place, clock_now, &r);
 		fleet_run(5);
-		place_read(&nodes[0].place, clock_now, &r);
-		place_late(&nodes[0].place, clock_now, &r);
-		place_late(&nodes[0].place, clock_now, &r);
+		place_prompt_read(&nodes[0].place, clock_now, &r);
+		place_mark_late(&nodes[0].place, clock_now, &r);
+		place_mark_late(&nodes[0].place, clock_now, &r);
 		fleet_run(5);
-		place_end(&nodes[0].place, clock_now, &r, SERVER_WELL);
+		place_end(&nodes[0].place, clock_now, &r, SERVER_ANSWERED);
 		fleet_run(5);
 	}
 }
@@ -594,7 +595,7 @@
 		request_fill_last(&r[i], 0, 6000);
 		place_submit(&nodes[i % 8].place, clock_now, &r[i]);
 		fleet_run(5);
-		away += place_queue_is_long(&r[i].queue);
+		away += place_queue_exceeds_limit(&r[i].queue);
 	}
 	return away;
 }
@@ -606,7 +607,7 @@
 
 	for (i = 0; i < 40; i++)
 		place_end(
-		    &nodes[i % 8].place, clock_now, &r[i], SERVER_UNKNOWN);
+		    &nodes[i % 8].place, clock_now, &r[i], SERVER_NO_RESULT);
 	fleet_run(5);
 }
 
@@ -639,8 +640,8 @@
 	urgent.wish.target = 400;
 	place_submit(&nodes[0].place, clock_now, &urgent);
 	fleet_run(5);
-	g_assert_false(place_queue_is_long(&urgent.queue));
-	place_end(&nodes[0].place, clock_now, &urgent, SERVER_WELL);
+	g_assert_false(place_queue_exceeds_limit(&urgent.queue));
+	place_end(&nodes[0].place, clock_now, &urgent, SERVER_ANSWERED);
 	end_forty(r);
 	fleet_stop();
 
@@ -654,10 +655,11 @@
 	request_fill_last(&lone, 7, 4000);
 	place_submit(&nodes[0].place, clock_now, &lone);
 	fleet_run(5);
-	g_assert_false(place_queue_is_long(&lone.queue));
-	place_end(&nodes[0].place, clock_now, &lone, SERVER_WELL);
+	g_assert_false(place_queue_exceeds_limit(&lone.queue));
+	place_end(&nodes[0].place, clock_now, &lone, SERVER_ANSWERED);
 	for (i = 0; i < 6; i++)
-		place_end(&nodes[i % 8].place, clock_now, &r[i], SERVER_WELL);
+		place_end(
+		    &nodes[i % 8].place, clock_now, &r[i], SERVER_ANSWERED);
 	fleet_stop();
 }
 
@@ -745,7 +747,7 @@
 		q->unread = 0;
 		load_keep(server, q->place.wish.prompt);
 		q->ends = clock_now + LOAD_STREAM_MS;
-		place_read(&q->node->place, clock_now, &q->place);
+		place_prompt_read(&q->node->place, clock_now, &q->place);
 	}
 }
 
@@ -789,9 +791,9 @@
 {
 	struct load_request *q = r->arg;
 
-	if (place_queue_is_long(&r->queue)) {
+	if (place_queue_exceeds_limit(&r->queue)) {
 		q->kind->away++;
-		place_end(&q->node->place, clock_now, r, SERVER_UNKNOWN);
+		place_end(&q->node->place, clock_now, r, SERVER_NO_RESULT);
 		return;
 	}
 	q->active = true;
@@ -818,7 +820,7 @@
 		if (load[i].active && load[i].unread > 0 &&
 		    clock_now - load[i].sent == load[i].kind->target + 1) {
 			load[i].kind->late++;
-			place_late(
+			place_mark_late(
 			    &load[i].node->place, clock_now, &load[i].place);
 		}
 	}
@@ -830,7 +832,7 @@
 			continue;
 		load[i].active = false;
 		place_end(&load[i].node->place, clock_now, &load[i].place,
-		    SERVER_WELL);
+		    SERVER_ANSWERED);
 	}
 }
 
@@ -860,7 +862,7 @@
 	for (i = 0; i < load_sent; i++) {
 		if (load[i].active)
 			place_end(&load[i].node->place, clock_now,
-			    &load[i].place, SERVER_UNKNOWN);
+			    &load[i].place, SERVER_NO_RESULT);
 	}
 	fleet_run(5);
 	fleet_stop();
@@ -1118,7 +1120,7 @@
 		old[i].wish.gap_target = i % 2 == 0 ? 300 : 1200;
 		place_submit(&nodes[i % 8].place, clock_now, &old[i]);
 		fleet_run(5);
-		place_read(&nodes[i % 8].place, clock_now, &old[i]);
+		place_prompt_read(&nodes[i % 8].place, clock_now, &old[i]);
 	}
 	n = load_coordinator();
 	g_assert_cmpuint(node_counts(n, 1), ==, 80);
@@ -1132,18 +1134,19 @@
 		young[i].wish.gap_target = i % 2 == 0 ? 300 : 1200;
 		place_submit(&nodes[i % 8].place, clock_now, &young[i]);
 		fleet_run(5);
-		place_read(&nodes[i % 8].place, clock_now, &young[i]);
+		place_prompt_read(&nodes[i % 8].place, clock_now, &young[i]);
 		/* The number of running requests is the same as before. */
 		if (i == 1)
 			g_assert_cmpuint(node_counts(n, 1), ==, 80);
-		place_end(&nodes[i % 8].place, clock_now, &old[i], SERVER_WELL);
+		place_end(
+		    &nodes[i % 8].place, clock_now, &old[i], SERVER_ANSWERED);
 	}
 	fleet_run(5);
 	g_assert_cmpuint(node_counts(n, 1), ==, 80);
 	g_assert_cmpuint(node_counts(n, 2), ==, 80);
 	for (i = 0; i < G_N_ELEMENTS(young); i++)
 		place_end(
-		    &nodes[i % 8].place, clock_now, &young[i], SERVER_WELL);
+		    &nodes[i % 8].place, clock_now, &young[i], SERVER_ANSWERED);
 	fleet_run(5);
 	g_assert_cmpuint(node_counts(n, 1), ==, 0);
 	fleet_stop();
@@ -1172,8 +1175,8 @@
 		/* The first ends unprocessed; the second is processed. */
 		g_assert_cmpuint(unread, ==, i < 2 ? 13100 : 100);
 		if (i > 0)
-			place_read(&nodes[0].place, clock_now, &r);
-		place_end(&nodes[0].place, clock_now, &r, SERVER_UNKNOWN);
+			place_prompt_read(&nodes[0].place, clock_now, &r);
+		place_end(&nodes[0].place, clock_now, &r, SERVER_NO_RESULT);
 	}
 	fleet_stop();
 }
@@ -1207,7 +1210,7 @@
 		g_assert_cmpuint(sent, ==, 0);
 		for (i = 0; i < G_N_ELEMENTS(r); i++)
 			place_end(
-			    &nodes[0].place, clock_now, &r[i], SERVER_WELL);
+			    &nodes[0].place, clock_now, &r[i], SERVER_ANSWERED);
 		for (i = 0; i < 20; i++) {
 			request_fill(&r[0], 7, 4000);
 			r[0].wish.navoid = 1;
@@ -1215,7 +1218,7 @@
 			place_submit(&nodes[0].place, clock_now, &r[0]);
 			g_assert_true(nodes[0].last != first);
 			place_end(
-			    &nodes[0].place, clock_now, &r[0], SERVER_WELL);
+			    &nodes[0].place, clock_now, &r[0], SERVER_ANSWERED);
 		}
 		fleet_stop();
 	}
--- a/tests/test-placement.c
+++ b/tests/test-placement.c
@@ -142,7 +142,7 @@
 	for (; fl->now < end; fl->now += STEP_MS) {
 		for (i = 0; i < ENGINES; i++) {
 			fake_step(&fl->engines[i], fl->now);
-			placement_state(&fl->placement, i + 1,
+			placement_engine_state(&fl->placement, i + 1,
 			    fl->engines[i].has, fl->engines[i].nhas);
 		}
 		placement_round(&fl->placement, fl->now);
@@ -160,7 +160,7 @@
 	placement_set_models(&fl->placement, m, 1);
 	placement_engines_begin(&fl->placement);
 	for (i = 0; i < ENGINES; i++)
-		placement_engine_is(&fl->placement, i + 1, true, false);
+		placement_engine_set(&fl->placement, i + 1, true, false);
 	placement_engines_end(&fl->placement);
 }
 
--- a/tests/test-relay.c
+++ b/tests/test-relay.c
@@ -20,7 +20,7 @@
 	struct relay relay;
 	struct world *world;
 	uint64_t mark; /* version in force here */
-	msec proven;
+	msec confirmed;
 	unsigned int reads, looks;
 	bool cut;  /* cut off from the other nodes */
 	bool away; /* the platform refuses its reads */
@@ -67,8 +67,8 @@
 {
 	struct node *v = r->arg;
 
-	if (s == RELAY_TABLE)
-		v->proven = MAX(v->proven, then);
+	if (s == RELAY_CONFIGURATION)
+		v->confirmed = MAX(v->confirmed, then);
 }
 
 static void
@@ -112,16 +112,16 @@
 {
 	v->reads++;
 	v->mark = v->world->newest;
-	v->proven = now;
-	relay_read(&v->relay, now, RELAY_TABLE, v->mark, now);
-	relay_read(&v->relay, now, RELAY_SERVERS, 7, now);
+	v->confirmed = now;
+	relay_read_succeeded(&v->relay, now, RELAY_CONFIGURATION, v->mark, now);
+	relay_read_succeeded(&v->relay, now, RELAY_SERVERS, 7, now);
 }
 
 static void
 node_turned_away(struct node *v, msec now)
 {
 	v->turned_away++;
-	relay_read_failed(&v->relay, now, RELAY_TABLE);
+	relay_read_failed(&v->relay, now, RELAY_CONFIGURATION);
 }
 
 static void
@@ -149,8 +149,8 @@
 	for (; w->now < end; w->now += 10) {
 		for (i = 0; i < w->n; i++) {
 			relay_tick(&w->nodes[i].relay, w->now);
-			if (relay_due(
-				&w->nodes[i].relay, w->now, RELAY_TABLE) != 0)
+			if (relay_due(&w->nodes[i].relay, w->now,
+				RELAY_CONFIGURATION) != 0)
 				continue;
 			if (w->nodes[i].away)
 				node_turned_away(&w->nodes[i], w->now);
@@ -190,7 +190,7 @@
 	for (i = 0; i < 100; i++) {
 		world_run(&w, 100);
 		g_assert_cmpint(
-		    w.now - w.nodes[i % NODES].proven, <, EVERY * 14 / 10);
+		    w.now - w.nodes[i % NODES].confirmed, <, EVERY * 14 / 10);
 	}
 	g_assert_cmpuint(world_reads(&w) - before, <=, 18);
 	g_assert_cmpuint(world_reads(&w) - before, >=, 15);
@@ -229,7 +229,7 @@
 		world_run(&w, 100);
 		for (i = 0; i < NODES; i++)
 			g_assert_cmpint(
-			    w.now - w.nodes[i].proven, <, EVERY * 16 / 10);
+			    w.now - w.nodes[i].confirmed, <, EVERY * 16 / 10);
 	}
 	for (i = 0; i < NODES; i++)
 		g_assert_cmpuint(w.nodes[i].mark, ==, 3);
@@ -257,8 +257,9 @@
 	w.newest = 2;
 	w.now += 20000;
 	world_post(&w);
-	g_assert_cmpint(w.now - v->proven, >=, 20000);
-	g_assert_cmpint(relay_due(&v->relay, w.now, RELAY_TABLE), ==, 0);
+	g_assert_cmpint(w.now - v->confirmed, >=, 20000);
+	g_assert_cmpint(
+	    relay_due(&v->relay, w.now, RELAY_CONFIGURATION), ==, 0);
 }
 
 /* An answer with another version proves nothing and makes the node read. */
@@ -274,17 +275,18 @@
 	reader = world_reader(&w);
 	v = reader == &w.nodes[0] ? &w.nodes[1] : &w.nodes[0];
 	w.newest = 9;
-	before = v->proven;
+	before = v->confirmed;
 	w.now += 300;
 	node_read(reader, w.now);
 	v->relay.next_ask = 0;
 	relay_tick(&v->relay, w.now);
 	world_post(&w);
-	g_assert_cmpint(v->proven, ==, before);
+	g_assert_cmpint(v->confirmed, ==, before);
 	g_assert_cmpuint(v->looks, >, 0);
-	g_assert_cmpint(relay_due(&v->relay, w.now, RELAY_TABLE), ==, 0);
+	g_assert_cmpint(
+	    relay_due(&v->relay, w.now, RELAY_CONFIGURATION), ==, 0);
 	node_read(v, w.now);
-	g_assert_cmpint(relay_due(&v->relay, w.now, RELAY_TABLE), >, 0);
+	g_assert_cmpint(relay_due(&v->relay, w.now, RELAY_CONFIGURATION), >, 0);
 }
 
 /*
@@ -299,8 +301,9 @@
 
 	world_init(&w, 1);
 	v = &w.nodes[0];
-	relay_read_in_vain(&v->relay, RELAY_TABLE, w.now);
-	g_assert_cmpint(relay_due(&v->relay, w.now, RELAY_TABLE), >=, 100);
+	relay_read_unusable(&v->relay, RELAY_CONFIGURATION, w.now);
+	g_assert_cmpint(
+	    relay_due(&v->relay, w.now, RELAY_CONFIGURATION), >=, 100);
 }
 
 /* A large fleet is divided into groups with different readers. */
@@ -346,7 +349,8 @@
 	g_assert_cmpuint(world_reads(&w) - before, >=, 45);
 	g_assert_cmpuint(world_reads(&w) - before, <=, 54);
 	for (i = 0; i < w.n; i++)
-		g_assert_cmpint(w.now - w.nodes[i].proven, <, EVERY * 14 / 10);
+		g_assert_cmpint(
+		    w.now - w.nodes[i].confirmed, <, EVERY * 14 / 10);
 }
 
 /*
@@ -366,10 +370,10 @@
 	world_run(&w, 3000);
 	i = &w.nodes[0] == world_reader(&w) ? 1 : 0;
 	r = &w.nodes[i].relay;
-	relay_read_failed(r, w.now, RELAY_TABLE);
+	relay_read_failed(r, w.now, RELAY_CONFIGURATION);
 	for (i = 0; i < 800; i++) {
 		world_run(&w, 10);
-		g_assert_cmpint(relay_due(r, w.now, RELAY_TABLE), >, 0);
+		g_assert_cmpint(relay_due(r, w.now, RELAY_CONFIGURATION), >, 0);
 	}
 }
 
@@ -383,22 +387,23 @@
 
 	relay_init(&r, &node_ops, 1, EVERY);
 	/* Before the first successful read, the node retries sooner. */
-	relay_read_failed(&r, now, RELAY_TABLE);
-	relay_read_failed(&r, now, RELAY_TABLE);
-	wait = relay_due(&r, now, RELAY_TABLE);
+	relay_read_failed(&r, now, RELAY_CONFIGURATION);
+	relay_read_failed(&r, now, RELAY_CONFIGURATION);
+	wait = relay_due(&r, now, RELAY_CONFIGURATION);
 	g_assert_cmpint(wait, >=, EVERY / 4);
 	g_assert_cmpint(wait, <=, EVERY / 2);
-	relay_read(&r, now, RELAY_TABLE, 1, now);
+	relay_read_succeeded(&r, now, RELAY_CONFIGURATION, 1, now);
 	for (now += EVERY; now < 22000; now += wait, n++) {
-		relay_read_failed(&r, now, RELAY_TABLE);
-		wait = relay_due(&r, now, RELAY_TABLE);
+		relay_read_failed(&r, now, RELAY_CONFIGURATION);
+		wait = relay_due(&r, now, RELAY_CONFIGURATION);
 		most = MAX(most, wait);
 	}
 	g_assert_cmpuint(n, <=, 18);
 	g_assert_cmpint(most, <=, EVERY * 12 / 10);
 	/* A successful read ends the retries. */
-	relay_read(&r, now, RELAY_TABLE, 1, now);
-	g_assert_cmpint(relay_due(&r, now, RELAY_TABLE), ==, EVERY * 60 / 100);
+	relay_read_succeeded(&r, now, RELAY_CONFIGURATION, 1, now);
+	g_assert_cmpint(
+	    relay_due(&r, now, RELAY_CONFIGURATION), ==, EVERY * 60 / 100);
 }
 
 /*
@@ -421,7 +426,7 @@
 	for (k = 0; k < 90; k++) {
 		world_run(&w, 100);
 		for (i = 0; i < w.n; i++)
-			g_assert_cmpint(w.now - w.nodes[i].proven, <,
+			g_assert_cmpint(w.now - w.nodes[i].confirmed, <,
 			    w.nodes[i].away ? EVERY * 4 : EVERY * 2);
 	}
 	for (i = 0; i < w.n; i++)
@@ -456,17 +461,18 @@
 	r->arg = &v;
 	relay_set_nodes(r, others, 2);
 	r->reader = 2;
-	relay_read(r, 1000, RELAY_TABLE, 7, 1000);
+	relay_read_succeeded(r, 1000, RELAY_CONFIGURATION, 7, 1000);
 	relay_tick(r, 1100);
-	relay_forget(r);
-	g_assert_cmpint(relay_due(r, 1200, RELAY_TABLE), ==, 0);
+	relay_drop_confirmations(r);
+	g_assert_cmpint(relay_due(r, 1200, RELAY_CONFIGURATION), ==, 0);
 	msg.sp_msg_u.relay_tell.seq = r->seq;
-	msg.sp_msg_u.relay_tell.known[RELAY_TABLE].mark = 7;
+	msg.sp_msg_u.relay_tell.known[RELAY_CONFIGURATION].mark = 7;
 	relay_receive(r, 1200, 2, &msg);
-	g_assert_cmpint(r->known[RELAY_TABLE].proven, ==, MSEC_NEVER);
-	g_assert_cmpint(v.proven, ==, 0);
-	relay_read(r, 1300, RELAY_TABLE, 7, 1250);
-	g_assert_cmpint(r->known[RELAY_TABLE].proven, ==, 1250);
+	g_assert_cmpint(
+	    r->known[RELAY_CONFIGURATION].confirmed, ==, MSEC_NEVER);
+	g_assert_cmpint(v.confirmed, ==, 0);
+	relay_read_succeeded(r, 1300, RELAY_CONFIGURATION, 7, 1250);
+	g_assert_cmpint(r->known[RELAY_CONFIGURATION].confirmed, ==, 1250);
 	g_queue_clear_full(&w.mail, g_free);
 }
 
--- a/tests/test-server-limit.c
+++ b/tests/test-server-limit.c
@@ -6,12 +6,12 @@
 #include "server-limit.h"
 
 static void
-fared(struct server_limit *l, unsigned int in_time, unsigned int late)
+adjustments(struct server_limit *l, unsigned int in_time, unsigned int late)
 {
 	unsigned int i;
 
 	for (i = 0; i < in_time + late; i++)
-		server_limit_learn(l, i % (in_time + late) < late, true);
+		server_limit_adjust(l, i % (in_time + late) < late, true);
 }
 
 /* Before any result, the limit of the last tier is a quarter of its target. */
@@ -33,9 +33,9 @@
 {
 	struct server_limit l = { 0 };
 
-	fared(&l, 80, 0);
+	adjustments(&l, 80, 0);
 	g_assert_cmpint(server_limit_ms(&l, 1000, true), ==, 1000);
-	fared(&l, 1000, 0);
+	adjustments(&l, 1000, 0);
 	g_assert_cmpint(server_limit_ms(&l, 1000, true), ==, 1000);
 }
 
@@ -49,15 +49,15 @@
 {
 	struct server_limit l = { 0 };
 
-	fared(&l, 80, 0);
-	fared(&l, 0, 14);
+	adjustments(&l, 80, 0);
+	adjustments(&l, 0, 14);
 	g_assert_cmpint(server_limit_ms(&l, 1000, true), <=, 125);
-	fared(&l, 0, 1000);
+	adjustments(&l, 0, 1000);
 	g_assert_cmpint(server_limit_ms(&l, 1000, true), >=, 100);
 	/* More urgent requests keep their limit. */
 	g_assert_cmpint(server_limit_ms(&l, 1000, false), ==, 1000);
 	/* The limit recovers. */
-	fared(&l, 100, 0);
+	adjustments(&l, 100, 0);
 	g_assert_cmpint(server_limit_ms(&l, 1000, true), ==, 1000);
 }
 
@@ -74,7 +74,7 @@
 	unsigned int i;
 
 	for (i = 0; i < 1000; i++)
-		server_limit_learn(&l, false, server_limit_is_near(20, 250));
+		server_limit_adjust(&l, false, server_limit_is_near(20, 250));
 	g_assert_cmpint(server_limit_ms(&l, 1000, true), ==, 250);
 	g_assert_false(server_limit_is_near(125, 250));
 	g_assert_true(server_limit_is_near(126, 250));
@@ -89,8 +89,8 @@
 	unsigned int i;
 
 	for (i = 0; i < 100; i++) {
-		fared(&few, 29, 1);
-		fared(&many, 3, 1);
+		adjustments(&few, 29, 1);
+		adjustments(&many, 3, 1);
 	}
 	g_assert_cmpint(server_limit_ms(&few, 1000, true), >=, 900);
 	g_assert_cmpint(server_limit_ms(&many, 1000, true), <=, 200);
@@ -102,7 +102,7 @@
 {
 	struct server_limit l = { 0 };
 
-	fared(&l, 0, 100);
+	adjustments(&l, 0, 100);
 	g_assert_cmpint(server_limit_ms(&l, 1, true), ==, 1);
 }
 
@@ -114,26 +114,26 @@
 static void
 test_told(void)
 {
-	struct server_told t = { 0 };
+	struct server_refusals t = { 0 };
 	msec now = 100000;
 	unsigned int i;
 
-	g_assert_false(server_told_away(&t, now, 0));
+	g_assert_false(server_refusals_apply(&t, now, 0));
 	/* Three of four answers are refusals, one answer each 20 ms. */
 	for (i = 0; i < 400; i++, now += 20)
-		server_told_note(&t, now, i % 4 != 0, 900, 800, 300);
-	g_assert_true(server_told_away(&t, now, 0.65));
-	g_assert_false(server_told_away(&t, now, 0.85));
-	server_told_note(&t, now, false, 10, 5, 300);
-	g_assert_true(server_told_away(&t, now, 0.65));
+		server_refusals_record(&t, now, i % 4 != 0, 900, 800, 300);
+	g_assert_true(server_refusals_apply(&t, now, 0.65));
+	g_assert_false(server_refusals_apply(&t, now, 0.85));
+	server_refusals_record(&t, now, false, 10, 5, 300);
+	g_assert_true(server_refusals_apply(&t, now, 0.65));
 	g_assert_cmpint(t.ahead, ==, 800);
 	g_assert_cmpint(t.limit, ==, 300);
-	g_assert_true(server_told_away(&t, now + 2900, 0.65));
-	g_assert_false(server_told_away(&t, now + 3100, 0.65));
+	g_assert_true(server_refusals_apply(&t, now + 2900, 0.65));
+	g_assert_false(server_refusals_apply(&t, now + 3100, 0.65));
 	/* After a pause, the first answer alone sets the proportion. */
 	now += 10000;
-	server_told_note(&t, now, false, 10, 5, 300);
-	g_assert_false(server_told_away(&t, now, 0));
+	server_refusals_record(&t, now, false, 10, 5, 300);
+	g_assert_false(server_refusals_apply(&t, now, 0));
 }
 
 int
--- a/tests/test-server-mix.c
+++ b/tests/test-server-mix.c
@@ -17,9 +17,9 @@
 	unsigned int i;
 
 	for (i = 0; i < n; i++) {
-		mix_request(m, 0, LONG, 1000, 0, 17000);
-		mix_request(m, 0, MIDDLE, 400, 0, 9000);
-		mix_request(m, 0, SHORT, 250, 0, 1400);
+		mix_record_request(m, 0, LONG, 1000, 0, 17000);
+		mix_record_request(m, 0, MIDDLE, 400, 0, 9000);
+		mix_record_request(m, 0, SHORT, 250, 0, 1400);
 	}
 }
 
@@ -47,9 +47,9 @@
 	unsigned int i;
 
 	for (i = 0; i < 10; i++) {
-		mix_request(&m, 0, LONG, 600, 2, 9200);
-		mix_request(&m, 0, MIDDLE, 250, 1, 2400);
-		mix_request(&m, 0, SHORT, 150, 0, 700);
+		mix_record_request(&m, 0, LONG, 600, 2, 9200);
+		mix_record_request(&m, 0, MIDDLE, 250, 1, 2400);
+		mix_record_request(&m, 0, SHORT, 150, 0, 700);
 	}
 	g_assert_true(mix_is_light(&m, SHORT));
 	g_assert_false(mix_is_light(&m, MIDDLE));
@@ -67,8 +67,9 @@
 	was = mix_is_light(&m, SHORT);
 	for (i = 0; i < 2000; i++) {
 		/* The short prompts are 0.16 and 0.2 of the longest. */
-		mix_request(&m, 0, LONG, 1000, 2, 17000);
-		mix_request(&m, 0, SHORT, 250, 0, i / 40 % 2 ? 3400 : 2720);
+		mix_record_request(&m, 0, LONG, 1000, 2, 17000);
+		mix_record_request(
+		    &m, 0, SHORT, 250, 0, i / 40 % 2 ? 3400 : 2720);
 		light = mix_is_light(&m, SHORT);
 		changes += light != was;
 		was = light;
@@ -88,19 +89,19 @@
 	unsigned int i;
 
 	for (i = 0; i < 100; i++) {
-		mix_request(&m, 0, LONG, 600, 2, 9200);
-		mix_request(&m, 0, MIDDLE, 250, 1, 2400);
+		mix_record_request(&m, 0, LONG, 600, 2, 9200);
+		mix_record_request(&m, 0, MIDDLE, 250, 1, 2400);
 	}
-	mix_request(&m, 0, LONG, 600, 2, G_MAXUINT);
+	mix_record_request(&m, 0, LONG, 600, 2, G_MAXUINT);
 	g_assert_false(mix_is_light(&m, MIDDLE));
 	/* The average still follows prompts that become longer for good. */
 	for (i = 0; i < 300; i++)
-		mix_request(&m, 0, LONG, 600, 2, 90000);
+		mix_record_request(&m, 0, LONG, 600, 2, 90000);
 	g_assert_cmpfloat(m.routes[0].prompt_tokens, >, 80000);
 	/* It also follows when the first prompt was empty. */
 	m = (struct mix){ 0 };
 	for (i = 0; i < 600; i++)
-		mix_request(&m, 0, LONG, 600, 2, i == 0 ? 0 : 9200);
+		mix_record_request(&m, 0, LONG, 600, 2, i == 0 ? 0 : 9200);
 	g_assert_cmpfloat(m.routes[0].prompt_tokens, >, 8000);
 }
 
@@ -110,9 +111,9 @@
 {
 	struct mix m = { 0 };
 
-	mix_request(&m, 0, SHORT, 250, 0, 1400);
+	mix_record_request(&m, 0, SHORT, 250, 0, 1400);
 	g_assert_false(mix_is_light(&m, SHORT));
-	mix_request(&m, 0, LONG, 250, 0, 17000);
+	mix_record_request(&m, 0, LONG, 250, 0, 17000);
 	g_assert_false(mix_is_light(&m, SHORT));
 	g_assert_cmpuint(mix_quiet_servers(&m, 0, 1, 18, 64), ==, 0);
 }
@@ -124,10 +125,10 @@
 	struct mix m = { 0 };
 
 	g_assert_false(mix_is_last_tier(&m, LONG));
-	mix_request(&m, 0, SHORT, 250, 1, 1400);
+	mix_record_request(&m, 0, SHORT, 250, 1, 1400);
 	g_assert_true(mix_is_last_tier(&m, SHORT));
-	mix_request(&m, 0, LONG, 1000, 2, 17000);
-	mix_request(&m, 0, MIDDLE, 400, 2, 9000);
+	mix_record_request(&m, 0, LONG, 1000, 2, 17000);
+	mix_record_request(&m, 0, MIDDLE, 400, 2, 9000);
 	g_assert_false(mix_is_last_tier(&m, SHORT));
 	g_assert_true(mix_is_last_tier(&m, LONG));
 	g_assert_true(mix_is_last_tier(&m, MIDDLE));
@@ -184,10 +185,10 @@
 	struct mix m = { 0 };
 	unsigned int i;
 
-	mix_held(&m, 600);
+	mix_record_hold_time(&m, 600);
 	g_assert_cmpfloat(m.hold_ms, ==, 600);
 	for (i = 0; i < 100; i++)
-		mix_held(&m, 2000);
+		mix_record_hold_time(&m, 2000);
 	g_assert_cmpfloat(m.hold_ms, >, 1900);
 }
 
--- a/tests/test-server.c
+++ b/tests/test-server.c
@@ -75,7 +75,7 @@
 	servers_init(&s, &ops);
 	list(&s, 0, "a", false, 0);
 	list(&s, 0, "b", false, 0);
-	servers_hold(&s, 3000);
+	servers_keep_unlisted(&s, 3000);
 	servers_unlist(&s, 1000, "a");
 	servers_unlist(&s, 1000, "b");
 	servers_tick(&s, 1001);
@@ -101,13 +101,13 @@
 	uint64_t gone, again;
 
 	servers_init(&s, &ops);
-	servers_remember(&s, 20000);
+	servers_set_retention(&s, 20000);
 	list(&s, 0, "a", false, 5);
 	list(&s, 0, "b", true, 5);
 	list(&s, 0, "c", false, 9);
 	servers_unlist(&s, 100, "a");
 	servers_tick(&s, 200);
-	servers_doubt(&s, 6000);
+	servers_keep_gone(&s, 6000);
 	gone = servers_mark(&s);
 	list(&s, 1000, "a", false, 5);
 	list(&s, 1000, "b", false, 5);
@@ -136,10 +136,10 @@
 	struct servers s;
 
 	servers_init(&s, &ops);
-	servers_remember(&s, 20000);
+	servers_set_retention(&s, 20000);
 	list(&s, 0, "a", false, 5);
 	servers_unlist(&s, 100, "a");
-	servers_doubt(&s, 6000);
+	servers_keep_gone(&s, 6000);
 	list(&s, 1000, "a", false, 5);
 	servers_tick(&s, 5900);
 	g_assert_cmpint(state_of(&s, "a"), ==, SERVER_GONE);
@@ -147,7 +147,7 @@
 	g_assert_cmpint(state_of(&s, "a"), ==, SERVER_READY);
 	/* A new process with the same name is ready at once. */
 	servers_unlist(&s, 7000, "a");
-	servers_doubt(&s, 15000);
+	servers_keep_gone(&s, 15000);
 	list(&s, 8000, "a", false, 6);
 	g_assert_cmpint(state_of(&s, "a"), ==, SERVER_READY);
 	servers_finish(&s);
@@ -169,7 +169,7 @@
 	list(&held, 0, "b", false, 0);
 	list(&other, 0, "a", false, 0);
 	list(&other, 0, "b", false, 0);
-	servers_hold(&held, 3000);
+	servers_keep_unlisted(&held, 3000);
 	servers_unlist(&held, 1000, "a");
 	servers_unlist(&other, 1000, "a");
 	g_assert_cmpint(state_of(&held, "a"), ==, SERVER_READY);
@@ -192,7 +192,7 @@
 	list(&s, 0, "a", false, 5);
 	v = servers_find(&s, name_hash("a"));
 	for (i = 0; i < 5; i++)
-		server_learn(v, 100, SERVER_FAILED);
+		server_record_result(v, 100, SERVER_FAILED);
 	g_assert_cmpint(v->resting_until, >, 100);
 	changes = 0;
 	list(&s, 200, "a", false, 9);
@@ -261,18 +261,18 @@
 	list(&s, 0, "b", false, 5);
 	down = servers_find(&s, name_hash("a"));
 	limited = servers_find(&s, name_hash("b"));
-	server_rate_hear(&limited->rate, 1000, 1000, SERVER_RATE_LEAST);
-	server_learn(down, 1000, SERVER_DOWN);
+	server_rate_update(&limited->rate, 1000, 1000, SERVER_RATE_MIN);
+	server_record_result(down, 1000, SERVER_DOWN);
 	g_assert_cmpuint(chosen(&s, down, 1000, 3000, &view), <=, 4);
 	g_assert_cmpuint(chosen(&s, down, 3000, 5000, &view), >=, 3);
 	/* A node that is not the only one to decide tries it less often. */
 	view.sole = false;
 	g_assert_cmpuint(chosen(&s, down, 5000, 9000, &view), <=, 1);
 	view.sole = true;
-	server_learn(down, 9000, SERVER_FULL);
+	server_record_result(down, 9000, SERVER_FULL);
 	g_assert_cmpuint(chosen(&s, down, 9000, 9100, &view), ==, 100);
 	/* Also without any other server; a new process is used at once. */
-	server_learn(down, 10000, SERVER_DOWN);
+	server_record_result(down, 10000, SERVER_DOWN);
 	g_assert_cmpuint(chosen(&s, down, 10000, 10100, &view), <=, 1);
 	list(&s, 10100, "a", false, 6);
 	g_assert_cmpuint(chosen(&s, down, 10100, 10200, &view), ==, 100);
@@ -396,16 +396,16 @@
 	list(&s, 0, "a", false, 5);
 	v = servers_find(&s, name_hash("a"));
 	/* It answers earlier and more urgent ones: the request still waits. */
-	server_heard(v, 3900, 2, 900);
-	server_heard(v, 3950, 0, 3000);
-	g_assert_false(server_forgot(v, 4000, 2, 1000, 1000));
+	server_response_received(v, 3900, 2, 900);
+	server_response_received(v, 3950, 0, 3000);
+	g_assert_false(server_lost_request(v, 4000, 2, 1000, 1000));
 	/* It has begun a later, less urgent one. */
-	server_heard(v, 4010, 3, 1500);
-	g_assert_true(server_forgot(v, 4020, 2, 1000, 1000));
-	g_assert_false(server_forgot(v, 4020, 2, 1600, 1000));
+	server_response_received(v, 4010, 3, 1500);
+	g_assert_true(server_lost_request(v, 4020, 2, 1000, 1000));
+	g_assert_false(server_lost_request(v, 4020, 2, 1600, 1000));
 	/* The server sends nothing any more. */
-	g_assert_false(server_forgot(v, 5000, 2, 1600, 1000));
-	g_assert_true(server_forgot(v, 5010, 2, 1600, 1000));
+	g_assert_false(server_lost_request(v, 5000, 2, 1600, 1000));
+	g_assert_true(server_lost_request(v, 5010, 2, 1600, 1000));
 	servers_finish(&s);
 }
 
@@ -426,12 +426,12 @@
 		g_strlcpy(last, v->name, sizeof last);
 	}
 	g_assert_cmpuint(w.navoid, ==, 3);
-	g_assert_false(servers_have_another(&s, &w));
+	g_assert_false(servers_have_alternative(&s, &w));
 	/* The only remaining server drains. */
 	w.navoid = 2;
-	g_assert_true(servers_have_another(&s, &w));
+	g_assert_true(servers_have_alternative(&s, &w));
 	list(&s, 1, last, true, 0);
-	g_assert_false(servers_have_another(&s, &w));
+	g_assert_false(servers_have_alternative(&s, &w));
 	g_assert_null(server_choose(&s, 1, &w, &view, 5));
 	servers_finish(&s);
 }
@@ -579,14 +579,14 @@
 	/* Only one server, however often, does not count. */
 	v = RB_MIN(server_tree, &s.tree);
 	for (i = 0; i < 20; i++)
-		servers_missed(&s, i, v);
+		servers_connect_timed_out(&s, i, v);
 	g_assert_true(servers_in_reach(&s, 20));
 	/* Some servers do not answer; the others do. */
 	for (i = 0; i < 40; i++) {
 		if (i % 3 != 0)
 			servers_reached(&s, 3000 + i * 10);
 		else
-			servers_missed(&s, 3000 + i * 10, v);
+			servers_connect_timed_out(&s, 3000 + i * 10, v);
 		v = RB_NEXT(server_tree, &s.tree, v);
 		if (v == NULL || i % 4 == 3)
 			v = RB_MIN(server_tree, &s.tree);
@@ -596,13 +596,14 @@
 	v = RB_MIN(server_tree, &s.tree);
 	for (i = 0; i < 3; i++) {
 		g_assert_true(servers_in_reach(&s, 9000 + i));
-		servers_missed(&s, 9000 + i, v);
+		servers_connect_timed_out(&s, 9000 + i, v);
 		v = RB_NEXT(server_tree, &s.tree, v);
 	}
 	g_assert_false(servers_in_reach(&s, 9003));
 	/* More failures at one of them change nothing. */
 	for (i = 0; i < 10; i++)
-		servers_missed(&s, 9003, RB_MIN(server_tree, &s.tree));
+		servers_connect_timed_out(
+		    &s, 9003, RB_MIN(server_tree, &s.tree));
 	g_assert_false(servers_in_reach(&s, 9003));
 	/* Some connections succeed. */
 	for (i = 0; i < 6; i++)
@@ -610,24 +611,24 @@
 	g_assert_true(servers_in_reach(&s, 9105));
 	/* Low load: three servers fail, one each second. */
 	for (i = 0; i < 3; i++) {
-		servers_missed(&s, 13000 + i * 1000, v);
+		servers_connect_timed_out(&s, 13000 + i * 1000, v);
 		v = RB_NEXT(server_tree, &s.tree, v);
 		g_assert_true(servers_in_reach(&s, 13000 + i * 1000));
 	}
 	/* Two failed servers are not tried again; the third keeps failing. */
 	for (i = 0; i < 3; i++) {
-		servers_missed(&s, 18000, v);
+		servers_connect_timed_out(&s, 18000, v);
 		v = RB_NEXT(server_tree, &s.tree, v);
 	}
 	v = RB_MIN(server_tree, &s.tree);
 	for (i = 0; i < 10; i++)
-		servers_missed(&s, 18000 + i * 300, v);
+		servers_connect_timed_out(&s, 18000 + i * 300, v);
 	g_assert_false(servers_in_reach(&s, 20700));
 	/* The result expires without new failures. */
 	for (i = 0; i < 12; i++, v = RB_NEXT(server_tree, &s.tree, v)) {
 		if (v == NULL)
 			v = RB_MIN(server_tree, &s.tree);
-		servers_missed(&s, 26000, v);
+		servers_connect_timed_out(&s, 26000, v);
 	}
 	g_assert_false(servers_in_reach(&s, 26500));
 	g_assert_true(servers_in_reach(&s, 28000));
