--- a/place-coordinate.c
+++ b/place-coordinate.c
@@ -14,7 +14,7 @@
 
 /* A counted request whose end was not reported is dropped after this. */
 #define PLACE_RECORD_MS (30 * MSEC_SECOND)
-/* A coordinator without a request for this long starts a new period. */
+/* A coordinator without a request for this long counts as a new one. */
 #define PLACE_IDLE_MS (5 * MSEC_SECOND)
 /* In this time after its start it may not know which prompts servers hold. */
 #define PLACE_YOUNG_MS (15 * MSEC_SECOND)
--- a/place-private.h
+++ b/place-private.h
@@ -48,7 +48,7 @@
  */
 void place_record_begin(struct place *, msec, name_id node, uint32_t id,
     struct server *, const struct server_wish *, const struct place_queue *);
-/* As coordinator: handles a status change of a counted request. */
+/* As coordinator: handles a status message for a counted request. */
 void
 place_step(struct place *, msec, name_id node, uint32_t id, enum sp_place_what);
 /* Maps the result of a request to its wire value. */
--- a/place.c
+++ b/place.c
@@ -15,8 +15,7 @@
 #define PLACE_REPLY_TIMEOUT_MIN_MS 20
 #define PLACE_REPLY_TIMEOUT_MAX_MS 80
 #define PLACE_REPLY_TIMEOUT_FACTOR 4
-/* After this many missed replies in a row, no coordinator is asked for a time.
- */
+/* After this many missed replies in a row, do not ask for PLACE_ALONE_MS. */
 #define PLACE_MISSED_MAX 6
 #define PLACE_ALONE_MS 1000
 /*
--- a/place.h
+++ b/place.h
@@ -125,7 +125,7 @@
 	unsigned int max_nodes; /* largest recent number of nodes */
 	msec max_nodes_at;
 	msec last_coordinated_at; /* last request placed as coordinator */
-	msec coordinator_since;	  /* start of this node's coordinator period */
+	msec coordinator_since;	  /* when this node became a coordinator */
 	uint32_t next_id;
 	struct place_requests waiting; /* for a coordinator's reply */
 	struct place_requests running; /* on a server */
--- a/relay.c
+++ b/relay.c
@@ -37,8 +37,8 @@
  */
 #define RELAY_POLLED_TIMES 2
 /*
- * Queries without a recent reply until the next candidate is polled, and for
- * how long it is, in multiples of `every`.
+ * Queries without a recent reply until the next candidate is polled, and how
+ * long that candidate is used, in multiples of `every`.
  */
 #define RELAY_UNCONFIRMED_MAX 3
 #define RELAY_CANDIDATE_TIMES 20
@@ -363,8 +363,8 @@
 }
 
 /*
- * New value of `vain` after a reply; 0 while the local node has no confirmed
- * state, since in a new deployment no node has any yet.
+ * New value of `unconfirmed` after a reply; 0 while the local node has no
+ * confirmed state, since in a new deployment no node has any yet.
  */
 static unsigned int
 relay_unconfirmed(const struct relay *r, u_int age_ms)
--- a/relay.h
+++ b/relay.h
@@ -56,6 +56,7 @@
 /* Candidates for a group's reader. */
 #define RELAY_CANDIDATES 3
 
+/* Monotonic counters. */
 struct relay_counters {
 	uint64_t asked;	 /* queries sent */
 	uint64_t told;	 /* replies and notifications received */
@@ -93,13 +94,13 @@
 	struct relay_freshness known[RELAY_SUBJECTS];
 	name_id reader; /* node that is polled; `self`: this node reads */
 	name_id candidates[RELAY_CANDIDATES]; /* by weight; 0: none */
-	unsigned int current;		      /* index of the current one */
-	msec switched_at;		      /* when `turn` was advanced */
-	unsigned int
-	    unconfirmed; /* consecutive queries without a recent reply */
-	bool answered;	 /* the last query has a reply */
-	uint32_t seq;	 /* of the last query */
-	msec asked;	 /* when the last query was sent */
+	unsigned int current;		      /* index of the reader in it */
+	msec switched_at;		      /* last change of `current` */
+	/* Consecutive queries without a recent reply. */
+	unsigned int unconfirmed;
+	bool answered; /* the last query has a reply */
+	uint32_t seq;  /* of the last query */
+	msec asked;    /* when the last query was sent */
 	msec next_ask;
 	struct relay_poller pollers[RELAY_GROUP_NODES];
 	struct relay_counters counters;
--- a/server-limit.h
+++ b/server-limit.h
@@ -23,10 +23,10 @@
 /* Returns true if `ahead` is near the limit; both in ms. */
 bool server_limit_is_near(msec ahead, msec limit);
 /*
- * Adjusts the limit after an admitted request was late or in time; `pressed`:
- * it was admitted near the limit. Only such a request in time raises the limit:
- * at low load all requests are in time whatever the limit is, and a limit
- * raised by them would admit the whole beginning of a burst.
+ * Adjusts the limit after an admitted request was late or in time;
+ * `near_limit`: it was admitted near the limit. Only such a request in time
+ * raises the limit: at low load all requests are in time whatever the limit is,
+ * and a limit raised by them would admit the whole beginning of a burst.
  */
 void server_limit_adjust(struct server_limit *, bool late, bool near_limit);
 /*
@@ -46,7 +46,7 @@
 	msec wait, ahead, limit; /* of the last refused request, in ms */
 };
 
-/* Records a reply; `away`: the request was over the limit. */
+/* Records a reply; `refused`: the request was over the limit. */
 void server_refusals_record(struct server_refusals *, msec now, bool refused,
     msec wait, msec ahead, msec limit);
 /*
--- a/server-rate.h
+++ b/server-rate.h
@@ -28,10 +28,9 @@
 
 /* Rate limit of a server. */
 struct server_rate {
-	double per_s; /* requests per second; 0: no limit */
-	msec
-	    received; /* time of the last response used; MSEC_NEVER: none yet */
-	msec since;   /* last change of per_s */
+	double per_s;	 /* requests per second; 0: no limit */
+	msec received;	 /* the last response used; MSEC_NEVER: none yet */
+	msec since;	 /* last change of per_s */
 	uint64_t sent;	 /* requests of this node since then */
 	bool unreadable; /* the server has sent an unreadable limit */
 	/* As coordinator: token bucket. */
--- a/server.h
+++ b/server.h
@@ -15,6 +15,7 @@
 #define SERVER_NAME_SIZE 128
 #define SERVER_RANKS 10
 
+/* State of a server by the platform's list. */
 enum server_state {
 	SERVER_READY,
 	SERVER_DRAINING, /* finishes its requests, gets no new ones */
@@ -76,8 +77,8 @@
 	double first_ms;	 /* smoothed time to a response; 0: none yet */
 	unsigned int links;	 /* connections of this node, busy and idle */
 	struct server_rate rate; /* rate limit reported by the server */
-	msec new_at; /* added after servers_set_complete(), or restarted; 0: no
-		      */
+	/* When added after servers_set_complete(), or restarted; 0: neither. */
+	msec new_at;
 	uint64_t sent_mark; /* server_mark() when last sent to other nodes */
 	char service_name[NAME_SIZE];
 	void *arg; /* for the caller */
@@ -118,7 +119,7 @@
 	unsigned int count;
 	struct server_memory memory;	 /* by requests of this node */
 	struct server_memory all_memory; /* of all nodes, as coordinator */
-	bool complete;			 /* the first list is complete */
+	bool complete;			 /* set by servers_set_complete() */
 	msec unlisted_kept_until; /* no server becomes SERVER_GONE before */
 	msec retention;	      /* how long SERVER_GONE entries are kept, in ms */
 	msec gone_kept_until; /* no server leaves SERVER_GONE before */
@@ -126,6 +127,7 @@
 	void *arg; /* for the caller */
 };
 
+/* Initialises an empty table; frees all servers. */
 void servers_init(struct servers *, const struct server_ops *);
 void servers_finish(struct servers *);
 /* Returns a server by its id, or NULL. */
@@ -150,8 +152,10 @@
  */
 void servers_keep_gone(struct servers *, msec until);
 void servers_set_retention(struct servers *, msec);
-/* State by the platform's list, without servers_keep_unlisted() and
- * servers_keep_gone(). */
+/*
+ * State by the platform's list, without servers_keep_unlisted() and
+ * servers_keep_gone().
+ */
 enum server_state server_listed_as(const struct server *);
 /*
  * Hash of the platform's list: the same on two nodes that have read the same
@@ -165,11 +169,11 @@
 
 /* Result of an attempt. */
 enum server_result {
-	SERVER_ANSWERED, /* complete response */
+	SERVER_ANSWERED, /* it answered */
 	SERVER_FULL,	 /* refused: the server takes no more requests now */
 	SERVER_FAILED,	 /* broken off, timed out or malformed response */
 	SERVER_DOWN,	 /* no connection, or another server at the address */
-	SERVER_NO_RESULT /* the caller left, or this node gave up */
+	SERVER_NO_RESULT /* nothing learned, such as when the caller left */
 };
 void server_record_result(struct server *, msec, enum server_result);
 /*
