--- a/entry-attempt.c
+++ b/entry-attempt.c
@@ -10,30 +10,30 @@
 #include <string.h>
 
 /* Sends beyond the route's attempts, for servers that answer "not executed". */
-#define JOB_EXTRA_SENDS 1
+#define JOB_EXTRA_ATTEMPTS 1
 /* Percentage of the route's target after which a silent server is checked. */
-#define JOB_PATIENCE_PERCENT 80
+#define JOB_SILENCE_CHECK_PERCENT 80
 /* Interval between further checks, and least silence of a server taken as dead.
  */
-#define JOB_LOOK_AGAIN_MS 250
-#define JOB_SILENCE_MS 1000
+#define JOB_SILENCE_RECHECK_MS 250
+#define JOB_SERVER_DEAD_MS 1000
 /* Most that running streams slow down the reading of a prompt, as a factor. */
-#define JOB_READING_TIMES 4
+#define JOB_READING_SLOWDOWN_MAX 4
 /* Longest prompt of a service that does not configure its servers' memory. */
-#define JOB_TOKENS_MAX 1000000
+#define JOB_PROMPT_TOKENS_MAX 1000000
 /* A pause in a stream of more than this many times its target is a failure. */
-#define JOB_GAP_TIMES 4
-#define JOB_GAP_LEAST_MS 1200
+#define JOB_GAP_TIMEOUT_FACTOR 4
+#define JOB_GAP_TIMEOUT_MIN_MS 1200
 
-static bool link_sending(struct link *, msec);
-static bool link_head(struct link *, const struct http_head *, msec);
-static void link_body(struct link *, const char *, size_t, msec);
-static void link_whole(struct link *, msec);
-static void link_ended(struct link *, enum link_end, msec);
-static void job_next(struct job *, msec, enum job_code);
+static bool attempt_sending(struct link *, msec);
+static bool attempt_head(struct link *, const struct http_head *, msec);
+static void attempt_body(struct link *, const char *, size_t, msec);
+static void attempt_complete(struct link *, msec);
+static void attempt_failed(struct link *, enum link_end, msec);
+static void job_retry_or_fail(struct job *, msec, enum job_code);
 
-static const struct link_ops job_link_ops = { link_sending, link_head,
-	link_body, link_whole, link_ended };
+static const struct link_ops job_link_ops = { attempt_sending, attempt_head,
+	attempt_body, attempt_complete, attempt_failed };
 
 /*
  * Bound for the prompt length that a caller states. A request that states 4
@@ -41,21 +41,21 @@
  * rejected while it waits. No server reads more than fits in its memory.
  */
 static uint64_t
-job_tokens_max(const struct job *j)
+job_prompt_tokens_max(const struct job *j)
 {
 	const struct route_service *v =
 	    route_service_find(j->table, j->service);
 
 	if (v != NULL && v->memory_tokens > 0)
-		return MIN(v->memory_tokens, JOB_TOKENS_MAX);
-	return JOB_TOKENS_MAX;
+		return MIN(v->memory_tokens, JOB_PROMPT_TOKENS_MAX);
+	return JOB_PROMPT_TOKENS_MAX;
 }
 
 static void
 job_fill_wish(const struct job *j, struct server_wish *w)
 {
 	const struct wire_request *r = &j->request;
-	uint64_t most = job_tokens_max(j), shared = 0;
+	uint64_t most = job_prompt_tokens_max(j), shared = 0;
 	unsigned int i;
 
 	*w = (struct server_wish){ .service = j->service,
@@ -80,7 +80,8 @@
 
 /* Write the request as it is sent to a server. */
 static void
-job_write(struct job *j, msec now, const struct server *v, struct buffer *out)
+job_write_request(
+    struct job *j, msec now, const struct server *v, struct buffer *out)
 {
 	const struct http_head *h = j->head;
 	struct wire_terms terms = { .deadline = j->deadline - now,
@@ -123,13 +124,13 @@
 
 /* How long the current server may be silent before it is checked, in ms. */
 static msec
-job_patience_ms(const struct job *j)
+job_silence_check_ms(const struct job *j)
 {
-	msec wait = j->route->target * JOB_PATIENCE_PERCENT / 100;
+	msec wait = j->route->target * JOB_SILENCE_CHECK_PERCENT / 100;
 
-	if (j->began)
-		return MAX(
-		    j->route->gap_target * JOB_GAP_TIMES, JOB_GAP_LEAST_MS);
+	if (j->answer_began)
+		return MAX(j->route->gap_target * JOB_GAP_TIMEOUT_FACTOR,
+		    JOB_GAP_TIMEOUT_MIN_MS);
 	return wait > 0 ? wait : MSEC_NEVER;
 }
 
@@ -140,19 +141,20 @@
  * known when the request was placed allows for them.
  */
 static msec
-job_silence_ms(const struct job *j)
+job_server_dead_ms(const struct job *j)
 {
-	return MAX(JOB_SILENCE_MS, j->place.queue.wait * JOB_READING_TIMES);
+	return MAX(
+	    JOB_SERVER_DEAD_MS, j->place.queue.wait * JOB_READING_SLOWDOWN_MAX);
 }
 
 static void
-job_arm_patience(struct job *j, msec now)
+job_arm_silence_timer(struct job *j, msec now)
 {
-	msec wait = job_patience_ms(j);
+	msec wait = job_silence_check_ms(j);
 
 	if (!j->repeatable || wait == MSEC_NEVER)
 		return;
-	loop_timer_set(&j->owner->loop, &j->patience, now + wait);
+	loop_timer_set(&j->owner->loop, &j->silence_timer, now + wait);
 }
 
 /* Start an attempt on a server; false when no connection is possible. */
@@ -165,7 +167,7 @@
 
 	if (j->ntried < SERVER_AVOID_MAX)
 		j->tried[j->ntried++] = v->id;
-	job_write(j, now, v, &request);
+	job_write_request(j, now, v, &request);
 	j->link = link_send(
 	    e, v, j, &job_link_ops, &request, to_head, !j->repeatable, now);
 	buffer_finish(&request);
@@ -177,7 +179,7 @@
 	v->rate.sent++;
 	j->sent_at = now;
 	e->counters.attempts++;
-	job_arm_patience(j, now);
+	job_arm_silence_timer(j, now);
 	return true;
 }
 
@@ -187,16 +189,16 @@
  * was paused. False when the request has ended.
  */
 static bool
-job_admit_again(struct job *j, msec now)
+job_recheck_admission(struct job *j, msec now)
 {
 	enum job_code code = job_admit(j, now);
 
-	if (code == JOB_SERVED && j->deadline - now < JOB_LEAST_MS)
+	if (code == JOB_SERVED && j->deadline - now < JOB_ATTEMPT_MIN_MS)
 		code = JOB_TIMEOUT;
 	else if (code == JOB_SERVED && entry_poison_refuses(j, now))
 		code = JOB_POISON;
 	/* A retry must end in time too; a stream that has begun continues. */
-	else if (code == JOB_SERVED && !j->began &&
+	else if (code == JOB_SERVED && !j->answer_began &&
 		 !entry_stop_leaves_time(j->owner, j, now))
 		code = JOB_LEAVING;
 	if (code != JOB_SERVED)
@@ -209,7 +211,7 @@
 {
 	struct entry *e = j->owner;
 
-	if (j->ntried > 0 && !job_admit_again(j, now))
+	if (j->ntried > 0 && !job_recheck_admission(j, now))
 		return;
 	if (!entry_poison_admit(j, now))
 		return;
@@ -221,7 +223,7 @@
 
 /* Reject the request at once; nothing was sent. */
 static void
-job_turn_away(struct job *j, msec now)
+job_reject_overloaded(struct job *j, msec now)
 {
 	struct entry *e = j->owner;
 
@@ -236,7 +238,7 @@
 
 /* The reason when placement finds no server. */
 static enum job_code
-job_without_server(const struct job *j)
+job_no_server_code(const struct job *j)
 {
 	if (j->sends > 0)
 		return j->last;
@@ -250,10 +252,10 @@
 {
 	struct job *j = r->arg;
 
-	if (!job_admit_again(j, now))
+	if (!job_recheck_admission(j, now))
 		return;
 	if (v == NULL) {
-		job_fail(j, now, job_without_server(j));
+		job_fail(j, now, job_no_server_code(j));
 		return;
 	}
 	if (!route_has_service(j->route, j->service)) {
@@ -263,7 +265,7 @@
 		return;
 	}
 	if (j->sends == 0 && place_queue_exceeds_limit(&r->queue)) {
-		job_turn_away(j, now);
+		job_reject_overloaded(j, now);
 		return;
 	}
 	if (job_send(j, now, v))
@@ -279,27 +281,27 @@
 
 /* Is another attempt possible, apart from the retry budget? */
 static bool
-job_could_go_on(struct job *j, msec now)
+job_can_retry(struct job *j, msec now)
 {
 	if (j->may_have_run && !j->repeatable)
 		return false;
-	if (j->began && (!j->streamed || j->events == 0))
+	if (j->answer_began && (!j->streamed || j->events == 0))
 		return false;
 	if (j->ntried == SERVER_AVOID_MAX)
 		return false;
 	if (j->runs >= j->route->attempts ||
-	    j->sends >= j->route->attempts + JOB_EXTRA_SENDS)
+	    j->sends >= j->route->attempts + JOB_EXTRA_ATTEMPTS)
 		return false;
-	return j->deadline - now >= JOB_LEAST_MS;
+	return j->deadline - now >= JOB_ATTEMPT_MIN_MS;
 }
 
 /* Is another attempt allowed? Takes it from the retry budget. */
 static bool
-job_may_go_on(struct job *j, msec now, enum job_code why)
+job_take_retry(struct job *j, msec now, enum job_code why)
 {
 	struct entry *e = j->owner;
 
-	if (!job_could_go_on(j, now))
+	if (!job_can_retry(j, now))
 		return false;
 	if (j->arrivals == 0)
 		return true;
@@ -316,18 +318,18 @@
 
 /* The current attempt has ended: start another one, or fail the request. */
 static void
-job_next(struct job *j, msec now, enum job_code why)
+job_retry_or_fail(struct job *j, msec now, enum job_code why)
 {
 	struct server *v =
 	    servers_find(&j->owner->servers, name_hash(j->server_name));
-	char same[POISON_ID_SIZE];
+	char fingerprint[POISON_ID_SIZE];
 
 	j->last = why;
 	entry_log(&j->owner->log, now, ENTRY_LOG_NEEDED,
 	    LOG_EVENT_ATTEMPT_FAILED, LOG_TEXT(LOG_KEY_REQUEST, j->request.id),
 	    LOG_TEXT(LOG_KEY_SERVER, j->server_name),
 	    LOG_TEXT(LOG_KEY_REASON, job_code_name(why)),
-	    LOG_TEXT(LOG_KEY_SAME, job_same(j, same)),
+	    LOG_TEXT(LOG_KEY_SAME, job_fingerprint_text(j, fingerprint)),
 	    LOG_NUMBER(LOG_KEY_RUNNING, v != NULL ? v->own.running : 0),
 	    LOG_NUMBER(LOG_KEY_SENDS, j->sends),
 	    LOG_NUMBER(LOG_KEY_MS, now - j->sent_at));
@@ -335,19 +337,19 @@
 		job_fail(j, now, JOB_POISON);
 		return;
 	}
-	if (!job_may_go_on(j, now, why)) {
+	if (!job_take_retry(j, now, why)) {
 		job_fail(j, now, why);
 		return;
 	}
 	if (!j->server_error)
-		reply_forget(j);
+		reply_discard(j);
 	job_attempt(j, now);
 }
 
 /* ---- callbacks of the link ---- */
 
 static void
-job_ran(struct job *j)
+job_count_run(struct job *j)
 {
 	j->may_have_run = true;
 	j->runs++;
@@ -356,10 +358,10 @@
 
 /* Check again: the process may have been paused while connecting. */
 static bool
-link_sending(struct link *k, msec now)
+attempt_sending(struct link *k, msec now)
 {
 	servers_reached(&k->owner->servers, now);
-	return job_admit_again(k->job, now);
+	return job_recheck_admission(k->job, now);
 }
 
 /*
@@ -369,20 +371,20 @@
  * treated as one that accepts no connections.
  */
 static enum server_result
-job_refusal(const struct http_head *h)
+job_refusal_result(const struct http_head *h)
 {
 	return h->status == 421 ? SERVER_DOWN : SERVER_FULL;
 }
 
 static bool
-link_head(struct link *k, const struct http_head *h, msec now)
+attempt_head(struct link *k, const struct http_head *h, msec now)
 {
 	struct job *j = k->job;
 
 	servers_reached(&j->owner->servers, now);
-	entry_rate_heard(k, h, now);
-	switch (reply_judge(j, h)) {
-	case REPLY_STRAY:
+	entry_rate_read(k, h, now);
+	switch (reply_classify(j, h)) {
+	case REPLY_OTHER_REQUEST:
 		entry_log(&j->owner->log, now, ENTRY_LOG_NEEDED,
 		    LOG_EVENT_STRAY_ANSWER,
 		    LOG_TEXT(LOG_KEY_REQUEST, j->request.id),
@@ -390,28 +392,28 @@
 		return false;
 	case REPLY_REJECTED:
 		j->refused_by_server = true;
-		j->refusal = job_refusal(h);
+		j->refusal_result = job_refusal_result(h);
 		return true;
-	case REPLY_RUBBISH:
-		job_ran(j);
+	case REPLY_INVALID:
+		job_count_run(j);
 		job_cancel(j, now, SERVER_FAILED);
-		job_next(j, now, JOB_BROKEN);
+		job_retry_or_fail(j, now, JOB_BROKEN);
 		return true;
-	case REPLY_TAKE:
-	case REPLY_FAILURE:
+	case REPLY_FORWARD:
+	case REPLY_SERVER_ERROR:
 		break;
 	}
-	if (!j->began)
-		reply_head(j, h);
+	if (!j->answer_began)
+		reply_store_head(j, h);
 	else if (h->status >= 300) {
 		/* The answer does not resume the stream that has begun. */
-		job_ran(j);
+		job_count_run(j);
 		job_cancel(j, now, SERVER_FAILED);
-		job_next(j, now, JOB_BROKEN);
+		job_retry_or_fail(j, now, JOB_BROKEN);
 		return true;
 	}
 	if (!j->streamed)
-		job_arm_patience(j, now);
+		job_arm_silence_timer(j, now);
 	return true;
 }
 
@@ -420,7 +422,7 @@
  * the server has accepted too many requests, seconds before the stream ends.
  */
 static void
-job_watch_time(struct job *j, msec now, bool first)
+job_report_late(struct job *j, msec now, bool first)
 {
 	bool late = j->gap > j->route->gap_target && j->route->gap_target > 0;
 
@@ -442,10 +444,10 @@
 }
 
 static void
-link_body(struct link *k, const char *bytes, size_t n, msec now)
+attempt_body(struct link *k, const char *bytes, size_t n, msec now)
 {
 	struct job *j = k->job;
-	bool first = !j->began;
+	bool first = !j->answer_began;
 
 	if (j->refused_by_server)
 		return;
@@ -454,17 +456,17 @@
 	server_response_received(
 	    j->server, now, j->place.wish.rank, j->sent_at);
 	if (reply_body(j, bytes, n, now)) {
-		job_watch_time(j, now, first);
-		job_arm_patience(j, now);
+		job_report_late(j, now, first);
+		job_arm_silence_timer(j, now);
 		return;
 	}
-	job_ran(j);
+	job_count_run(j);
 	job_cancel(j, now, SERVER_FAILED);
-	job_next(j, now, JOB_BROKEN);
+	job_retry_or_fail(j, now, JOB_BROKEN);
 }
 
 static void
-link_whole(struct link *k, msec now)
+attempt_complete(struct link *k, msec now)
 {
 	struct job *j = k->job;
 
@@ -472,20 +474,20 @@
 	if (j->refused_by_server) {
 		j->refused_by_server = false;
 		j->arrivals++;
-		job_leave_server(j, now, j->refusal);
-		job_next(j, now, JOB_FULL);
+		job_release_server(j, now, j->refusal_result);
+		job_retry_or_fail(j, now, JOB_FULL);
 		return;
 	}
-	job_ran(j);
+	job_count_run(j);
 	job_began_to_run(j, now);
-	poison_served(&j->owner->poison.core, now, j->same);
+	poison_served(&j->owner->poison.core, now, j->fingerprint);
 	if (j->server_error && j->repeatable) {
-		job_leave_server(j, now, SERVER_ANSWERED);
-		job_next(j, now, JOB_SERVER_ERROR);
+		job_release_server(j, now, SERVER_ANSWERED);
+		job_retry_or_fail(j, now, JOB_SERVER_ERROR);
 		return;
 	}
-	reply_whole(j, now);
-	job_leave_server(j, now, SERVER_ANSWERED);
+	reply_finish(j, now);
+	job_release_server(j, now, SERVER_ANSWERED);
 	job_free(j, now, j->server_error ? JOB_SERVER_ERROR : JOB_SERVED);
 }
 
@@ -495,7 +497,7 @@
  * node of sixty had marked most of ninety servers.
  */
 static enum server_result
-link_unheard(struct link *k, msec now)
+attempt_connect_timed_out(struct link *k, msec now)
 {
 	struct servers *s = &k->owner->servers;
 
@@ -505,13 +507,13 @@
 
 /* What the end of an attempt shows about the server. */
 static enum server_result
-link_result(struct link *k, enum link_end how, msec now)
+attempt_server_result(struct link *k, enum link_end how, msec now)
 {
 	switch (how) {
-	case LINK_LEFT:
+	case LINK_SERVER_LEAVING:
 		return SERVER_NO_RESULT;
-	case LINK_UNHEARD:
-		return link_unheard(k, now);
+	case LINK_CONNECT_TIMED_OUT:
+		return attempt_connect_timed_out(k, now);
 	case LINK_UNSENT:
 		return SERVER_DOWN;
 	case LINK_BROKEN:
@@ -528,43 +530,43 @@
  * begun can only continue through this node, so it is retried.
  */
 static bool
-job_is_cut_off(struct job *j, msec now)
+job_network_is_saturated(struct job *j, msec now)
 {
-	return !j->began && !servers_in_reach(&j->owner->servers, now);
+	return !j->answer_began && !servers_in_reach(&j->owner->servers, now);
 }
 
 static void
-link_ended(struct link *k, enum link_end how, msec now)
+attempt_failed(struct link *k, enum link_end how, msec now)
 {
 	struct job *j = k->job;
 
 	j->link = NULL;
 	j->refused_by_server = false;
 	poison_end(&j->owner->poison.core, now, &j->run, how == LINK_BROKEN);
-	job_leave_server(j, now, link_result(k, how, now));
-	if (k->refused)
+	job_release_server(j, now, attempt_server_result(k, how, now));
+	if (k->connect_refused)
 		entry_poison_refused(k->owner, k->server, now);
 	if (how == LINK_BROKEN) {
-		job_ran(j);
+		job_count_run(j);
 		if (!entry_poison_broke(
-			j, k->server, job_could_go_on(j, now), now))
-			job_next(j, now, JOB_BROKEN);
+			j, k->server, job_can_retry(j, now), now))
+			job_retry_or_fail(j, now, JOB_BROKEN);
 		return;
 	}
 	/* No byte was sent, so the attempt does not count. */
 	j->sends--;
-	if (how == LINK_UNHEARD && job_is_cut_off(j, now)) {
+	if (how == LINK_CONNECT_TIMED_OUT && job_network_is_saturated(j, now)) {
 		j->last = JOB_UNREACHABLE;
 		job_fail(j, now, JOB_UNREACHABLE);
 		return;
 	}
-	job_next(j, now, JOB_UNREACHABLE);
+	job_retry_or_fail(j, now, JOB_UNREACHABLE);
 }
 
 void
-job_checked(struct job *j, msec now)
+job_server_checked(struct job *j, msec now)
 {
-	job_next(j, now, JOB_BROKEN);
+	job_retry_or_fail(j, now, JOB_BROKEN);
 }
 
 /*
@@ -572,7 +574,7 @@
  * turn an answer that may still arrive into a 502.
  */
 static bool
-job_has_another(struct job *j)
+job_has_other_server(struct job *j)
 {
 	struct server_wish w;
 
@@ -585,10 +587,11 @@
  * continues in any case.
  */
 static bool
-job_has_time_for_another(struct job *j, msec now)
+job_has_time_to_retry(struct job *j, msec now)
 {
-	j->is_last = !j->began && !entry_stop_leaves_time(j->owner, j, now);
-	return !j->is_last;
+	j->no_retry =
+	    !j->answer_began && !entry_stop_leaves_time(j->owner, j, now);
+	return !j->no_retry;
 }
 
 /*
@@ -599,16 +602,17 @@
  * nodes, 90 servers).
  */
 static bool
-job_is_forgotten(struct job *j, msec now)
+job_may_abandon_server(struct job *j, msec now)
 {
-	if (j->is_last || j->runs + 1 >= j->route->attempts)
+	if (j->no_retry || j->runs + 1 >= j->route->attempts)
 		return false;
 	if (!servers_in_reach(&j->owner->servers, now))
 		return false;
-	if (!j->began && !server_lost_request(j->server, now,
-			     j->place.wish.rank, j->sent_at, job_silence_ms(j)))
+	if (!j->answer_began &&
+	    !server_lost_request(j->server, now, j->place.wish.rank, j->sent_at,
+		job_server_dead_ms(j)))
 		return false;
-	return job_has_another(j);
+	return job_has_other_server(j);
 }
 
 /*
@@ -620,59 +624,61 @@
 static bool
 job_is_hopeless(const struct job *j, msec now)
 {
-	struct entry_kind *k;
+	struct entry_route_stats *k;
 
-	if (j->began || j->route->kind != ROUTE_STREAM ||
+	if (j->answer_began || j->route->kind != ROUTE_STREAM ||
 	    j->deadline == MSEC_NEVER)
 		return false;
-	k = entry_kind_find(j->owner, j->route->name);
-	return k != NULL && duration_usual(&k->rest, 0) > j->deadline - now;
+	k = entry_route_stats_find(j->owner, j->route->name);
+	return k != NULL &&
+	       duration_usual(&k->stream_time, 0) > j->deadline - now;
 }
 
 static void
-job_give_up(struct job *j, msec now)
+job_cancel_hopeless(struct job *j, msec now)
 {
 	entry_log(&j->owner->log, now, ENTRY_LOG_NEEDED, LOG_EVENT_HOPELESS,
 	    LOG_TEXT(LOG_KEY_REQUEST, j->request.id),
 	    LOG_TEXT(LOG_KEY_SERVER, j->server->name),
 	    LOG_NUMBER(LOG_KEY_MS, now - j->sent_at),
 	    LOG_NUMBER(LOG_KEY_LEFT_MS, j->deadline - now));
-	job_ran(j);
+	job_count_run(j);
 	/* The server is busy, not faulty. */
 	job_cancel(j, now, SERVER_NO_RESULT);
 	job_fail(j, now, JOB_TIMEOUT);
 }
 
 static void
-job_look_again(struct job *j, msec now)
+job_recheck_silence_later(struct job *j, msec now)
 {
-	loop_timer_set(&j->owner->loop, &j->patience, now + JOB_LOOK_AGAIN_MS);
+	loop_timer_set(
+	    &j->owner->loop, &j->silence_timer, now + JOB_SILENCE_RECHECK_MS);
 }
 
 /* The server is silent: try another one if that is allowed. */
 void
-job_patience(struct loop_timer *t, msec now)
+job_check_silence(struct loop_timer *t, msec now)
 {
 	struct job *j = t->arg;
 
 	if (j->server == NULL || j->link == NULL)
 		return;
 	if (job_is_hopeless(j, now)) {
-		job_give_up(j, now);
+		job_cancel_hopeless(j, now);
 		return;
 	}
-	if (!job_is_forgotten(j, now) ||
+	if (!job_may_abandon_server(j, now) ||
 	    retry_budget_left(entry_budget(j->owner, j->service),
 		&j->owner->budget, now, j->owner->live_nodes) == 0 ||
-	    !job_has_time_for_another(j, now)) {
-		job_look_again(j, now);
+	    !job_has_time_to_retry(j, now)) {
+		job_recheck_silence_later(j, now);
 		return;
 	}
 	entry_log(&j->owner->log, now, ENTRY_LOG_NEEDED,
 	    LOG_EVENT_SERVER_SILENT, LOG_TEXT(LOG_KEY_REQUEST, j->request.id),
 	    LOG_TEXT(LOG_KEY_SERVER, j->server->name),
 	    LOG_NUMBER(LOG_KEY_MS, now - j->sent_at));
-	job_ran(j);
+	job_count_run(j);
 	job_cancel(j, now, SERVER_FAILED);
-	job_next(j, now, JOB_BROKEN);
+	job_retry_or_fail(j, now, JOB_BROKEN);
 }
--- a/entry-caller.c
+++ b/entry-caller.c
@@ -18,16 +18,16 @@
 #include <string.h>
 #include <unistd.h>
 
-#define CALLER_BACKLOG 1024
-#define CALLER_READ 16384
+#define CALLER_LISTEN_BACKLOG 1024
+#define CALLER_READ_SIZE 16384
 /* Most pipelined bytes that are buffered while a request is answered. */
-#define CALLER_AHEAD 65536
+#define CALLER_PIPELINED_MAX 65536
 /* A peer that acknowledges no sent bytes for so long is taken as gone. */
-#define CALLER_SILENT_MS 4000
+#define CALLER_UNACKED_MS 4000
 /* After shutdown of the sending side, the peer has so long to close. */
 #define CALLER_LINGER_MS 500
 /* A new connection is not closed as idle before this age. */
-#define CALLER_FIRST_MS 500
+#define CALLER_IDLE_CLOSE_MIN_AGE_MS 500
 /* Limits before there is a configuration. */
 #define CALLER_HEAD_MAX 16384
 #define CALLER_BODY_MAX (4 * 1024 * 1024)
@@ -42,7 +42,7 @@
 static void
 caller_set_options(int fd)
 {
-	int on = 1, silent = CALLER_SILENT_MS, idle = 2, every = 1, count = 2;
+	int on = 1, silent = CALLER_UNACKED_MS, idle = 2, every = 1, count = 2;
 
 	setsockopt(fd, IPPROTO_TCP, TCP_NODELAY, &on, sizeof on);
 	setsockopt(fd, IPPROTO_TCP, TCP_USER_TIMEOUT, &silent, sizeof silent);
@@ -64,7 +64,7 @@
 	buffer_finish(&c->body);
 	buffer_finish(&c->out);
 	TAILQ_REMOVE(&e->callers, c, entry);
-	if (c->counts)
+	if (c->delays_stop)
 		e->ncallers--;
 	g_free(c);
 }
@@ -81,15 +81,15 @@
 }
 
 void
-caller_break(struct caller *c, msec now)
+caller_break_answer(struct caller *c, msec now)
 {
 	struct linger reset = { .l_onoff = 1, .l_linger = 0 };
 
 	c->busy = false;
 	/* With all bytes sent, close without a reset, so that they arrive. */
-	if (buffer_left(&c->out) == 0 && !c->shut) {
+	if (buffer_left(&c->out) == 0 && !c->write_closed) {
 		shutdown(c->io.fd, SHUT_WR);
-		c->shut = c->closing = true;
+		c->write_closed = c->closing = true;
 		loop_timer_set(
 		    &c->owner->loop, &c->timer, now + CALLER_LINGER_MS);
 		loop_watch(&c->owner->loop, &c->io, EPOLLIN | EPOLLRDHUP);
@@ -128,14 +128,14 @@
 	c->io = (struct loop_io){ caller_ready, fd, 0 };
 	c->ops = li->ops;
 	c->owner = e;
-	c->counts = li->counts;
+	c->delays_stop = li->delays_stop;
 	c->accepted = e->loop.now;
 	limits = caller_limits(c);
 	http_reader_init(&c->reader, true, limits.head_bytes, limits.body_bytes,
 	    caller_body, c);
 	loop_timer_init(&c->timer, caller_timer, c);
 	TAILQ_INSERT_TAIL(&e->callers, c, entry);
-	if (c->counts)
+	if (c->delays_stop)
 		e->ncallers++;
 	caller_set_options(fd);
 	loop_timer_set(&e->loop, &c->timer, e->loop.now + limits.idle_timeout);
@@ -158,12 +158,13 @@
 
 bool
 caller_listen(struct entry *e, struct listener_io *li,
-    const struct endpoint *at, const struct caller_ops *ops, bool counts)
+    const struct endpoint *at, const struct caller_ops *ops, bool delays_stop)
 {
 	struct sockaddr_in sin = { .sin_family = AF_INET };
 	int fd, on = 1;
 
-	*li = (struct listener_io){ { listener_ready, -1, 0 }, e, ops, counts };
+	*li = (struct listener_io){ { listener_ready, -1, 0 }, e, ops,
+		delays_stop };
 	fd = socket(AF_INET, SOCK_STREAM | SOCK_NONBLOCK | SOCK_CLOEXEC, 0);
 	if (fd == -1)
 		return false;
@@ -171,7 +172,7 @@
 	sin.sin_addr.s_addr = htonl(at->address);
 	sin.sin_port = htons(at->port);
 	if (bind(fd, (struct sockaddr *)&sin, sizeof sin) == -1 ||
-	    listen(fd, CALLER_BACKLOG) == -1) {
+	    listen(fd, CALLER_LISTEN_BACKLOG) == -1) {
 		log_warn("cannot listen on port %u: %s", at->port,
 		    g_strerror(errno));
 		close(fd);
@@ -200,7 +201,7 @@
 {
 	uint32_t events = EPOLLRDHUP;
 
-	if (!c->eof && (!c->busy || buffer_left(&c->in) < CALLER_AHEAD))
+	if (!c->eof && (!c->busy || buffer_left(&c->in) < CALLER_PIPELINED_MAX))
 		events |= EPOLLIN;
 	if (c->eof)
 		events = 0;
@@ -225,7 +226,7 @@
 
 /* Answer an invalid request with an error, then close. */
 static void
-caller_refuse(struct caller *c, msec now, unsigned int status)
+caller_reject(struct caller *c, msec now, unsigned int status)
 {
 	entry_log(&c->owner->log, now, ENTRY_LOG_NEEDED, LOG_EVENT_REFUSED,
 	    LOG_NUMBER(LOG_KEY_STATUS, status),
@@ -236,7 +237,7 @@
 }
 
 static void
-caller_request_whole(struct caller *c, msec now)
+caller_request_complete(struct caller *c, msec now)
 {
 	c->busy = true;
 	loop_timer_stop(&c->owner->loop, &c->timer);
@@ -245,13 +246,13 @@
 
 /* The head is complete: check the announced body length, answer "Expect". */
 static void
-caller_head(struct caller *c, msec now)
+caller_head_complete(struct caller *c, msec now)
 {
 	const struct http_head *h = c->reader.head;
 	struct route_limits limits = caller_limits(c);
 
 	if (h->sized && h->length > limits.body_bytes) {
-		caller_refuse(c, now, 413);
+		caller_reject(c, now, 413);
 		return;
 	}
 	if (h->has_body && http_head_has_token(h, "Expect", "100-continue")) {
@@ -279,16 +280,16 @@
 		n = http_reader_take(
 		    &c->reader, buffer_bytes(&c->in), buffer_left(&c->in));
 		if (c->reader.stage == HTTP_STAGE_FAILED) {
-			caller_refuse(
+			caller_reject(
 			    c, now, caller_error_status(c->reader.error));
 			return;
 		}
 		buffer_drop(&c->in, n);
 		if (before == HTTP_STAGE_HEAD &&
 		    c->reader.stage == HTTP_STAGE_BODY)
-			caller_head(c, now);
+			caller_head_complete(c, now);
 		if (c->reader.stage == HTTP_STAGE_WHOLE && !c->closing)
-			caller_request_whole(c, now);
+			caller_request_complete(c, now);
 	}
 }
 
@@ -299,15 +300,15 @@
 	ssize_t n;
 
 	for (;;) {
-		if (c->busy && buffer_left(&c->in) >= CALLER_AHEAD)
+		if (c->busy && buffer_left(&c->in) >= CALLER_PIPELINED_MAX)
 			return true;
-		n = recv(
-		    c->io.fd, buffer_room(&c->in, CALLER_READ), CALLER_READ, 0);
+		n = recv(c->io.fd, buffer_room(&c->in, CALLER_READ_SIZE),
+		    CALLER_READ_SIZE, 0);
 		if (n > 0) {
 			buffer_added(&c->in, (size_t)n);
 			if (c->closing)
 				buffer_finish(&c->in);
-			if (n < CALLER_READ)
+			if (n < CALLER_READ_SIZE)
 				return true;
 			continue;
 		}
@@ -340,7 +341,8 @@
 	if ((events & (EPOLLIN | EPOLLRDHUP | EPOLLHUP)) && !c->eof &&
 	    !caller_read(c, now))
 		return;
-	if (c->eof && (c->busy || c->shut || buffer_left(&c->out) == 0)) {
+	if (c->eof &&
+	    (c->busy || c->write_closed || buffer_left(&c->out) == 0)) {
 		caller_abort(c, now);
 		return;
 	}
@@ -365,7 +367,7 @@
 		return;
 	}
 	if (!c->closing && !c->busy && !http_reader_is_idle(&c->reader)) {
-		caller_refuse(c, now, 408);
+		caller_reject(c, now, 408);
 		return;
 	}
 	caller_abort(c, now);
@@ -374,7 +376,7 @@
 /* ---- writing ---- */
 
 size_t
-caller_backlog(const struct caller *c)
+caller_unsent(const struct caller *c)
 {
 	return buffer_left(&c->out);
 }
@@ -393,7 +395,7 @@
 
 /* All is written: close the sending side and wait for the peer to close. */
 static void
-caller_shut(struct caller *c, msec now)
+caller_close_write(struct caller *c, msec now)
 {
 	/*
 	 * close() with unread bytes resets the connection, and the peer may
@@ -401,7 +403,7 @@
 	 * arrives is read and discarded.
 	 */
 	shutdown(c->io.fd, SHUT_WR);
-	c->shut = true;
+	c->write_closed = true;
 	loop_timer_set(&c->owner->loop, &c->timer, now + CALLER_LINGER_MS);
 }
 
@@ -430,16 +432,16 @@
 		}
 		buffer_drop(&c->out, (size_t)n);
 	}
-	if (before >= CALLER_LOW && buffer_left(&c->out) < CALLER_LOW &&
-	    c->busy)
+	if (before >= CALLER_LOW_WATER &&
+	    buffer_left(&c->out) < CALLER_LOW_WATER && c->busy)
 		c->ops->drained(c, now);
-	if (c->closing && !c->shut && buffer_left(&c->out) == 0)
-		caller_shut(c, now);
+	if (c->closing && !c->write_closed && buffer_left(&c->out) == 0)
+		caller_close_write(c, now);
 	caller_watch(c);
 }
 
 void
-caller_ended(struct caller *c, msec now, bool keep)
+caller_finish_answer(struct caller *c, msec now, bool keep)
 {
 	struct entry *e = c->owner;
 
@@ -454,7 +456,7 @@
 		loop_timer_set(
 		    &e->loop, &c->timer, now + caller_limits(c).idle_timeout);
 	} else {
-		loop_timer_set(&e->loop, &c->timer, now + CALLER_SILENT_MS);
+		loop_timer_set(&e->loop, &c->timer, now + CALLER_UNACKED_MS);
 	}
 	caller_flush(c);
 	/* Pipelined requests are handled on the next turn, without recursion.
@@ -478,7 +480,7 @@
 	if (c->reader.head == NULL || c->reader.head->method == NULL ||
 	    strcmp(c->reader.head->method, "HEAD") != 0)
 		caller_write_text(c, body);
-	caller_ended(c, now, keep);
+	caller_finish_answer(c, now, keep);
 }
 
 void
@@ -487,7 +489,7 @@
 	struct caller *c, *next;
 
 	TAILQ_FOREACH_SAFE (c, &e->callers, entry, next) {
-		if (c->busy || c->closing || !c->counts ||
+		if (c->busy || c->closing || !c->delays_stop ||
 		    !http_reader_is_idle(&c->reader) || buffer_left(&c->in) > 0)
 			continue;
 		/*
@@ -495,7 +497,7 @@
 		 * discarded after the close, and the caller get no answer.
 		 */
 		if (c->served == 0 &&
-		    e->loop.now - c->accepted < CALLER_FIRST_MS)
+		    e->loop.now - c->accepted < CALLER_IDLE_CLOSE_MIN_AGE_MS)
 			continue;
 		c->closing = true;
 		caller_flush(c);
--- a/entry-duty.c
+++ b/entry-duty.c
@@ -641,7 +641,7 @@
 	x->processes = g_renew(struct usage_process, x->processes, maximum);
 	nodes[n] = (struct duty_node){ e->members.self.id,
 		name_hash(e->members.self.domain), e->phase == ENTRY_SERVING,
-		entry_age(e->incarnation) };
+		entry_process_age(e->incarnation) };
 	x->processes[n++] =
 	    (struct usage_process){ e->members.self.id, e->incarnation };
 	RB_FOREACH (m, member_tree, &e->members.tree) {
@@ -650,7 +650,7 @@
 		nodes[n] = (struct duty_node){ m->id, name_hash(m->domain),
 			m->state == MEMBER_ALIVE && !m->leaving &&
 			    m->load_permille < 1000,
-			entry_age(m->incarnation) };
+			entry_process_age(m->incarnation) };
 		x->processes[n++] =
 		    (struct usage_process){ m->id, m->incarnation };
 	}
--- a/entry-era.c
+++ b/entry-era.c
@@ -131,9 +131,9 @@
 {
 	uint64_t settled = entry_era_settled(e, now);
 
-	if (e->phase != ENTRY_SERVING || settled == e->era_written)
+	if (e->phase != ENTRY_SERVING || settled == e->era_recorded)
 		return;
-	e->era_written = settled;
+	e->era_recorded = settled;
 	if (settled != 0)
 		e->source->ops->announce(e->source);
 }
--- a/entry-job.c
+++ b/entry-job.c
@@ -17,18 +17,19 @@
 /* Least Retry-After of answers with 503, if no other value below applies. */
 #define JOB_RETRY_AFTER_MS 400
 /* While this node starts, or when other nodes can check the key. */
-#define JOB_SOON_RETRY_MS 150
+#define JOB_RETRY_SOON_MS 150
 /* When no node will accept it soon: platform unreachable, or all stopping. */
-#define JOB_AWAY_RETRY_MS 1000
+#define JOB_RETRY_UNAVAILABLE_MS 1000
 /* When another node accepts it now: the time for a new connection. */
-#define JOB_ELSEWHERE_RETRY_MS 20
+#define JOB_RETRY_OTHER_NODE_MS 20
 
-static void job_timer(struct loop_timer *, msec);
+static void job_deadline_passed(struct loop_timer *, msec);
 static void job_request(struct caller *, msec);
-static void job_gone(struct caller *, msec);
-static void job_drained(struct caller *, msec);
+static void job_caller_gone(struct caller *, msec);
+static void job_caller_drained(struct caller *, msec);
 
-const struct caller_ops job_caller_ops = { job_request, job_gone, job_drained };
+const struct caller_ops job_caller_ops = { job_request, job_caller_gone,
+	job_caller_drained };
 
 const char *
 job_code_name(enum job_code c)
@@ -52,11 +53,11 @@
 }
 
 const char *
-job_same(const struct job *j, char text[POISON_ID_SIZE])
+job_fingerprint_text(const struct job *j, char text[POISON_ID_SIZE])
 {
-	if (poison_id_is_none(j->same))
+	if (poison_id_is_none(j->fingerprint))
 		return NULL;
-	poison_id_print(j->same, text);
+	poison_id_print(j->fingerprint, text);
 	return text;
 }
 
@@ -72,11 +73,11 @@
 	const char *last =
 	    j->last != JOB_SERVED ? job_code_name(j->last) : NULL;
 	const char *server = *j->server_name != '\0' ? j->server_name : NULL;
-	char same[POISON_ID_SIZE];
+	char fingerprint[POISON_ID_SIZE];
 	msec first = j->first_at != 0 ? j->first_at - j->arrived : MSEC_NEVER;
 	msec left = j->deadline != MSEC_NEVER ? j->deadline - now : MSEC_NEVER;
 	msec leaving =
-	    j->came_leaving ? j->arrived - e->leaving_since : MSEC_NEVER;
+	    j->arrived_during_stop ? j->arrived - e->leaving_since : MSEC_NEVER;
 
 	entry_log(&e->log, now, weight, LOG_EVENT_REQUEST,
 	    LOG_TEXT(LOG_KEY_REQUEST, j->request.id),
@@ -84,7 +85,7 @@
 	    LOG_NUMBER(LOG_KEY_STATUS, j->status),
 	    LOG_TEXT(LOG_KEY_ROUTE, route),
 	    LOG_TEXT(LOG_KEY_ORGANISATION, organisation),
-	    LOG_TEXT(LOG_KEY_SAME, job_same(j, same)),
+	    LOG_TEXT(LOG_KEY_SAME, job_fingerprint_text(j, fingerprint)),
 	    LOG_TEXT(LOG_KEY_SERVER, server),
 	    LOG_NUMBER(LOG_KEY_SENDS, j->sends),
 	    LOG_NUMBER(LOG_KEY_RUNS, j->runs),
@@ -95,16 +96,16 @@
 	    LOG_NUMBER(LOG_KEY_MS, now - j->arrived),
 	    LOG_NUMBER(LOG_KEY_LEFT_MS, job_span(left)),
 	    LOG_NUMBER(LOG_KEY_LEAVING_MS, job_span(leaving)),
-	    LOG_NUMBER(LOG_KEY_NEEDS_MS, j->needs),
+	    LOG_NUMBER(LOG_KEY_NEEDS_MS, j->time_needed),
 	    LOG_NUMBER(LOG_KEY_CONFIGURATION,
 		e->table != NULL ? e->table->version : 0),
 	    LOG_NUMBER(LOG_KEY_PROOF_MS, job_span(fresh_age(&e->fresh, now))));
 }
 
 void
-job_leave_server(struct job *j, msec now, enum server_result how)
+job_release_server(struct job *j, msec now, enum server_result how)
 {
-	loop_timer_stop(&j->owner->loop, &j->patience);
+	loop_timer_stop(&j->owner->loop, &j->silence_timer);
 	place_end(&j->owner->place, now, &j->place, how);
 	j->server = NULL;
 	poison_end(&j->owner->poison.core, now, &j->run, false);
@@ -121,19 +122,19 @@
 		entry_poison_left(j, k->server, now);
 	if (k != NULL)
 		link_cancel(k);
-	job_leave_server(j, now, how);
+	job_release_server(j, now, how);
 }
 
 /* Update how long streams of the route take after their first event. */
 static void
-job_learn_rest(const struct job *j, msec now, enum job_code code)
+job_learn_stream_time(const struct job *j, msec now, enum job_code code)
 {
-	struct entry_kind *k;
+	struct entry_route_stats *k;
 
 	if (code != JOB_SERVED || !j->streamed || j->route == NULL)
 		return;
-	if ((k = entry_kind_find(j->owner, j->route->name)) != NULL)
-		duration_learn(&k->rest, now - j->first_at);
+	if ((k = entry_route_stats_find(j->owner, j->route->name)) != NULL)
+		duration_learn(&k->stream_time, now - j->first_at);
 }
 
 void
@@ -142,14 +143,14 @@
 	struct entry *e = j->owner;
 
 	entry_count(e, j, code, now);
-	job_learn_rest(j, now, code);
+	job_learn_stream_time(j, now, code);
 	job_log(j, now, code);
 	job_cancel(j, now, SERVER_NO_RESULT);
 	loop_timer_stop(&e->loop, &j->timer);
 	route_table_drop(j->table);
 	g_free(j->id);
 	buffer_finish(&j->fields);
-	buffer_finish(&j->held);
+	buffer_finish(&j->unsent_body);
 	TAILQ_REMOVE(&e->jobs, j, entry);
 	e->njobs--;
 	if (j->caller != NULL)
@@ -185,16 +186,16 @@
 		    JOB_RETRY_AFTER_MS);
 	else if (code == JOB_POISON)
 		after = MAX(poison_trial_in(&j->owner->poison.core,
-				j->owner->loop.now, j->same),
-		    JOB_AWAY_RETRY_MS);
+				j->owner->loop.now, j->fingerprint),
+		    JOB_RETRY_UNAVAILABLE_MS);
 	else if (code == JOB_LEAVING || code == JOB_STOPPED)
-		after = entry_others_ready(j->owner) ? JOB_ELSEWHERE_RETRY_MS
-						     : JOB_AWAY_RETRY_MS;
+		after = entry_others_ready(j->owner) ? JOB_RETRY_OTHER_NODE_MS
+						     : JOB_RETRY_UNAVAILABLE_MS;
 	else if (code == JOB_STARTING ||
 		 (code == JOB_NOT_FRESH && entry_others_ready(j->owner)))
-		after = JOB_SOON_RETRY_MS;
+		after = JOB_RETRY_SOON_MS;
 	else if (code == JOB_NOT_FRESH)
-		after = JOB_AWAY_RETRY_MS;
+		after = JOB_RETRY_UNAVAILABLE_MS;
 	/* Randomised, so that callers refused together do not all retry at
 	 * once. */
 	return after + g_rand_int_range(j->owner->rand, 0, (gint32)after);
@@ -205,18 +206,19 @@
 {
 	struct caller *c = j->caller;
 	unsigned int status = job_status(j, code);
-	bool broken = j->began && code != JOB_TIMEOUT && code != JOB_STOPPED;
+	bool broken =
+	    j->answer_began && code != JOB_TIMEOUT && code != JOB_STOPPED;
 
 	job_cancel(j, now,
-	    code == JOB_TIMEOUT && j->may_have_run && !j->began
+	    code == JOB_TIMEOUT && j->may_have_run && !j->answer_began
 		? SERVER_FAILED
 		: SERVER_NO_RESULT);
-	if (j->began)
-		caller_break(c, now);
+	if (j->answer_began)
+		caller_break_answer(c, now);
 	else if (j->server_error && j->may_have_run)
-		reply_whole(j, now);
+		reply_finish(j, now);
 	else
-		reply_own(j, now, status,
+		reply_write_local(j, now, status,
 		    status == 503 ? job_retry_after(j, code) : 0, true);
 	job_free(j, now, broken ? JOB_BROKEN : code);
 }
@@ -266,7 +268,7 @@
 
 /* Set the poison id; a caller without a key is identified by its address. */
 static void
-job_set_same(struct job *j)
+job_set_fingerprint(struct job *j)
 {
 	struct caller *c = j->caller;
 	char address[INET_ADDRSTRLEN] = "";
@@ -281,7 +283,7 @@
 		r.caller = j->organisation->name;
 	else
 		caller_address(c, address);
-	j->same = poison_id_make(j->owner->settings->peer_key, &r);
+	j->fingerprint = poison_id_make(j->owner->settings->peer_key, &r);
 }
 
 static void
@@ -298,10 +300,10 @@
 	c->job = j;
 	j->head = c->reader.head;
 	j->arrived = now;
-	j->came_leaving = e->phase == ENTRY_LEAVING;
+	j->arrived_during_stop = e->phase == ENTRY_LEAVING;
 	j->deadline = MSEC_NEVER;
-	loop_timer_init(&j->timer, job_timer, j);
-	loop_timer_init(&j->patience, job_patience, j);
+	loop_timer_init(&j->timer, job_deadline_passed, j);
+	loop_timer_init(&j->silence_timer, job_check_silence, j);
 	TAILQ_INSERT_TAIL(&e->jobs, j, entry);
 	e->njobs++;
 	e->last_request = now;
@@ -319,7 +321,7 @@
 		job_fail(j, now, code);
 		return;
 	}
-	job_set_same(j);
+	job_set_fingerprint(j);
 	j->repeatable = route_is_repeatable(j->route);
 	j->service = route_service_draw(j->route, g_rand_int(e->rand));
 	job_set_deadline(j, now);
@@ -334,7 +336,7 @@
 /* ---- deadline and caller events ---- */
 
 static void
-job_timer(struct loop_timer *t, msec now)
+job_deadline_passed(struct loop_timer *t, msec now)
 {
 	struct job *j = t->arg;
 
@@ -346,7 +348,7 @@
 }
 
 static void
-job_gone(struct caller *c, msec now)
+job_caller_gone(struct caller *c, msec now)
 {
 	struct job *j = c->job;
 
@@ -355,14 +357,14 @@
 }
 
 static void
-job_drained(struct caller *c, msec now)
+job_caller_drained(struct caller *c, msec now)
 {
 	if (c->job != NULL && c->job->link != NULL)
 		link_pause(c->job->link, false);
 }
 
 void
-job_cut_all(struct entry *e, msec now)
+job_stop_all(struct entry *e, msec now)
 {
 	struct job *j, *next;
 
--- a/entry-link.c
+++ b/entry-link.c
@@ -21,15 +21,15 @@
 #define LINK_HEAD_MAX 65536
 #define LINK_BODY_MAX ((uint64_t)1 << 40)
 /* Servers are a few milliseconds away; a later answer is not expected. */
-#define LINK_CONNECT_MS 600
+#define LINK_CONNECT_TIMEOUT_MS 600
 /* Sent bytes unacknowledged for so long: the network path is lost. */
-#define LINK_SILENT_MS 1500
+#define LINK_UNACKED_MS 1500
 /* Idle time of kept connections, if the server announces no timeout. */
-#define LINK_IDLE_MS 4000
+#define LINK_IDLE_DEFAULT_MS 4000
 /* An idle connection is closed this long before the server's timeout. */
 #define LINK_IDLE_MARGIN_MS 500
 /* A connection idle for less than this is assumed to be still open. */
-#define LINK_FRESH_MS 300
+#define LINK_FRESH_IDLE_MS 300
 
 static unsigned char link_input[LINK_READ];
 
@@ -50,17 +50,17 @@
 }
 
 static void
-link_body(struct http_reader *r, const char *bytes, size_t n)
+link_answer_body(struct http_reader *r, const char *bytes, size_t n)
 {
 	struct link *k = r->arg;
 
-	if (!k->skip && k->job != NULL)
+	if (!k->discard_answer && k->job != NULL)
 		k->ops->body(k, bytes, n, k->owner->loop.now);
 }
 
 /* Remove an idle link from its server's pool. */
 static void
-link_unpool(struct link_pool *p, struct link *k)
+link_remove_idle(struct link_pool *p, struct link *k)
 {
 	TAILQ_REMOVE(&p->idle, k, entry);
 	p->nidle--;
@@ -68,7 +68,7 @@
 
 /* The connection is established, or the link is about to be freed. */
 static void
-link_not_connecting(struct link *k)
+link_connect_finished(struct link *k)
 {
 	if (k->connecting)
 		TAILQ_REMOVE(&link_pool_of(k->server)->connecting, k, entry);
@@ -82,7 +82,7 @@
 	struct entry *e = k->owner;
 	struct server *v = k->server;
 
-	link_not_connecting(k);
+	link_connect_finished(k);
 	loop_timer_stop(&e->loop, &k->timer);
 	loop_close(&e->loop, &k->io);
 	http_reader_finish(&k->reader);
@@ -95,7 +95,7 @@
 link_end(struct link *k, enum link_end how, msec now)
 {
 	if (k->job != NULL)
-		k->ops->ended(k, how, now);
+		k->ops->failed(k, how, now);
 	link_free(k);
 }
 
@@ -111,7 +111,7 @@
 static void
 link_set_options(int fd)
 {
-	int on = 1, silent = LINK_SILENT_MS, idle = 1, every = 1, count = 2;
+	int on = 1, silent = LINK_UNACKED_MS, idle = 1, every = 1, count = 2;
 
 	setsockopt(fd, IPPROTO_TCP, TCP_NODELAY, &on, sizeof on);
 	setsockopt(fd, IPPROTO_TCP, TCP_USER_TIMEOUT, &silent, sizeof silent);
@@ -152,10 +152,10 @@
 	TAILQ_INSERT_TAIL(&link_pool_of(v)->connecting, k, entry);
 	v->links++;
 	e->counters.connects++;
-	http_reader_init(
-	    &k->reader, false, LINK_HEAD_MAX, LINK_BODY_MAX, link_body, k);
+	http_reader_init(&k->reader, false, LINK_HEAD_MAX, LINK_BODY_MAX,
+	    link_answer_body, k);
 	loop_timer_init(&k->timer, link_timer, k);
-	loop_timer_set(&e->loop, &k->timer, now + LINK_CONNECT_MS);
+	loop_timer_set(&e->loop, &k->timer, now + LINK_CONNECT_TIMEOUT_MS);
 	if (!loop_watch(&e->loop, &k->io, EPOLLOUT)) {
 		link_free(k);
 		return NULL;
@@ -187,10 +187,10 @@
 	struct link *k, *next;
 
 	TAILQ_FOREACH_SAFE (k, &p->idle, entry, next) {
-		if (fresh && now - k->idle_since >= LINK_FRESH_MS)
+		if (fresh && now - k->idle_since >= LINK_FRESH_IDLE_MS)
 			return NULL;
-		link_unpool(p, k);
-		if (now - k->idle_since >= k->idle_max || !link_is_open(k)) {
+		link_remove_idle(p, k);
+		if (now - k->idle_since >= k->idle_limit || !link_is_open(k)) {
 			link_free(k);
 			continue;
 		}
@@ -275,10 +275,10 @@
 	    error != 0) {
 		log_debug("cannot connect to %s: %s", k->server->name,
 		    g_strerror(error));
-		k->refused = error == ECONNREFUSED;
+		k->connect_refused = error == ECONNREFUSED;
 		return false;
 	}
-	link_not_connecting(k);
+	link_connect_finished(k);
 	loop_timer_stop(&k->owner->loop, &k->timer);
 	return true;
 }
@@ -292,16 +292,16 @@
 	struct wire_answer a;
 
 	k->owner->wire->answer(k->reader.head, "", &a);
-	k->idle_max = LINK_IDLE_MS;
+	k->idle_limit = LINK_IDLE_DEFAULT_MS;
 	if (a.keeps_idle > 0)
-		k->idle_max = MIN(k->idle_max, a.keeps_idle);
-	k->idle_max = MAX(k->idle_max - LINK_IDLE_MARGIN_MS, 1);
+		k->idle_limit = MIN(k->idle_limit, a.keeps_idle);
+	k->idle_limit = MAX(k->idle_limit - LINK_IDLE_MARGIN_MS, 1);
 	k->idle_since = now;
 	k->used = true;
 	http_reader_reset(&k->reader);
 	TAILQ_INSERT_HEAD(&p->idle, k, entry);
 	p->nidle++;
-	loop_timer_set(&k->owner->loop, &k->timer, now + k->idle_max);
+	loop_timer_set(&k->owner->loop, &k->timer, now + k->idle_limit);
 	link_watch(k);
 }
 
@@ -319,13 +319,13 @@
 
 /* The answer is complete; `rest` unexpected bytes follow it. */
 static void
-link_whole(struct link *k, size_t rest, msec now)
+link_answer_complete(struct link *k, size_t rest, msec now)
 {
 	bool keep = k->reader.head->keep_alive && !k->reader.head->to_the_end &&
 		    rest == 0 && buffer_left(&k->out) == 0 &&
 		    link_is_current(k);
 
-	k->ops->whole(k, now);
+	k->ops->complete(k, now);
 	k->job = NULL;
 	if (keep)
 		link_to_pool(k, now);
@@ -339,29 +339,29 @@
  * the link cannot be used any more.
  */
 static bool
-link_head(struct link *k, msec now)
+link_answer_head(struct link *k, msec now)
 {
 	struct http_head *h = k->reader.head;
 
 	/* After a 1xx status the final answer follows. */
 	if (h->status < 200 || !k->ops->head(k, h, now)) {
-		k->skip = true;
+		k->discard_answer = true;
 		k->owner->counters.strays += h->status >= 200;
 		return !h->to_the_end;
 	}
-	k->skip = false;
+	k->discard_answer = false;
 	return true;
 }
 
 /* Parse bytes of an answer; may free the link. */
 static void
-link_take(struct link *k, const char *bytes, size_t n, msec now)
+link_parse(struct link *k, const char *bytes, size_t n, msec now)
 {
 	enum http_stage before;
 	bool good = true;
 	size_t took;
 
-	k->owner->link_in_hand = k;
+	k->owner->link_being_parsed = k;
 	while (n > 0 && k->job != NULL) {
 		before = k->reader.stage;
 		took = http_reader_take(&k->reader, bytes, n);
@@ -370,31 +370,31 @@
 		good = k->reader.stage != HTTP_STAGE_FAILED;
 		if (good && before == HTTP_STAGE_HEAD &&
 		    k->reader.stage >= HTTP_STAGE_BODY)
-			good = link_head(k, now);
+			good = link_answer_head(k, now);
 		if (!good || k->job == NULL)
 			break;
 		if (k->reader.stage != HTTP_STAGE_WHOLE)
 			continue;
-		if (!k->skip)
+		if (!k->discard_answer)
 			break;
 		http_reader_reset(&k->reader);
 	}
-	k->owner->link_in_hand = NULL;
+	k->owner->link_being_parsed = NULL;
 	/* A callback may have cancelled this attempt. */
 	if (k->job == NULL)
 		link_free(k);
 	else if (!good)
 		link_fail(k, now);
 	else if (k->reader.stage == HTTP_STAGE_WHOLE)
-		link_whole(k, n, now);
+		link_answer_complete(k, n, now);
 }
 
 static void
 link_end_of_input(struct link *k, msec now)
 {
 	http_reader_close(&k->reader);
-	if (k->reader.stage == HTTP_STAGE_WHOLE && !k->skip)
-		link_whole(k, 0, now);
+	if (k->reader.stage == HTTP_STAGE_WHOLE && !k->discard_answer)
+		link_answer_complete(k, 0, now);
 	else
 		link_fail(k, now);
 }
@@ -417,7 +417,7 @@
 		link_end_of_input(k, now);
 		return;
 	}
-	link_take(k, (const char *)link_input, (size_t)n, now);
+	link_parse(k, (const char *)link_input, (size_t)n, now);
 }
 
 static void
@@ -428,7 +428,7 @@
 
 	/* Any event on an idle connection means that it is unusable. */
 	if (k->job == NULL) {
-		link_unpool(link_pool_of(k->server), k);
+		link_remove_idle(link_pool_of(k->server), k);
 		link_free(k);
 		return;
 	}
@@ -453,10 +453,10 @@
 	struct link *k = t->arg;
 
 	if (k->job == NULL) {
-		link_unpool(link_pool_of(k->server), k);
+		link_remove_idle(link_pool_of(k->server), k);
 		link_free(k);
 	} else if (k->connecting) {
-		link_end(k, LINK_UNHEARD, now);
+		link_end(k, LINK_CONNECT_TIMED_OUT, now);
 	}
 }
 
@@ -464,8 +464,8 @@
 link_cancel(struct link *k)
 {
 	k->job = NULL;
-	/* While link_take() parses bytes of this link, it frees the link. */
-	if (k->owner->link_in_hand != k)
+	/* While link_parse() parses bytes of this link, it frees the link. */
+	if (k->owner->link_being_parsed != k)
 		link_free(k);
 }
 
@@ -485,13 +485,13 @@
 	struct link *k, *next;
 
 	TAILQ_FOREACH_SAFE (k, &p->idle, entry, next) {
-		link_unpool(p, k);
+		link_remove_idle(p, k);
 		link_free(k);
 	}
 }
 
 void
-link_leave(struct entry *e, struct server *v)
+link_close_stale(struct entry *e, struct server *v)
 {
 	struct link_pool *p = link_pool_of(v);
 	struct link *k, *next;
@@ -503,7 +503,7 @@
 	 */
 	TAILQ_FOREACH_SAFE (k, &p->connecting, entry, next) {
 		if (!link_is_current(k))
-			link_end(k, LINK_LEFT, e->loop.now);
+			link_end(k, LINK_SERVER_LEAVING, e->loop.now);
 	}
 }
 
--- a/entry-metrics.c
+++ b/entry-metrics.c
@@ -17,59 +17,61 @@
 	metrics_nothing, metrics_nothing };
 
 int
-entry_kind_compare(struct entry_kind *a, struct entry_kind *b)
+entry_route_stats_compare(
+    struct entry_route_stats *a, struct entry_route_stats *b)
 {
 	return strcmp(a->route, b->route);
 }
 
-RB_GENERATE(entry_kinds, entry_kind, entry, entry_kind_compare)
+RB_GENERATE(
+    entry_route_stats_tree, entry_route_stats, entry, entry_route_stats_compare)
 
-struct entry_kind *
-entry_kind_find(struct entry *e, const char *route)
+struct entry_route_stats *
+entry_route_stats_find(struct entry *e, const char *route)
 {
-	struct entry_kind find;
+	struct entry_route_stats find;
 
 	g_strlcpy(find.route, route, sizeof find.route);
-	return RB_FIND(entry_kinds, &e->kinds, &find);
+	return RB_FIND(entry_route_stats_tree, &e->route_stats, &find);
 }
 
 void
 entry_count(struct entry *e, const struct job *j, enum job_code code, msec now)
 {
-	struct entry_kind *k;
+	struct entry_route_stats *k;
 
 	e->counters.codes[code]++;
 	if (j->route == NULL)
 		return;
-	if ((k = entry_kind_find(e, j->route->name)) == NULL) {
-		if (e->nkinds == ENTRY_KINDS_MAX)
+	if ((k = entry_route_stats_find(e, j->route->name)) == NULL) {
+		if (e->nroute_stats == ENTRY_ROUTE_STATS_MAX)
 			return;
-		e->nkinds++;
-		k = g_new0(struct entry_kind, 1);
+		e->nroute_stats++;
+		k = g_new0(struct entry_route_stats, 1);
 		g_strlcpy(k->route, j->route->name, sizeof k->route);
-		RB_INSERT(entry_kinds, &e->kinds, k);
+		RB_INSERT(entry_route_stats_tree, &e->route_stats, k);
 	}
 	k->codes[code]++;
 	if (j->first_at != 0)
 		metrics_observe(&k->first, j->first_at - j->arrived);
 	if (code == JOB_SERVED)
-		metrics_observe(&k->whole, now - j->arrived);
+		metrics_observe(&k->complete, now - j->arrived);
 	if (code == JOB_SERVED)
-		duration_learn(&k->lasts, now - j->arrived);
+		duration_learn(&k->total_time, now - j->arrived);
 	else if ((code == JOB_TIMEOUT && j->may_have_run) ||
 		 (code == JOB_CALLER_GONE && j->sends > 0))
-		duration_learn_at_least(&k->lasts, now - j->arrived);
+		duration_learn_at_least(&k->total_time, now - j->arrived);
 	if (j->gap > 0)
 		metrics_observe(&k->gap, j->gap);
 }
 
 void
-entry_kinds_free(struct entry *e)
+entry_route_stats_free(struct entry *e)
 {
-	struct entry_kind *k;
+	struct entry_route_stats *k;
 
-	while ((k = RB_MIN(entry_kinds, &e->kinds)) != NULL) {
-		RB_REMOVE(entry_kinds, &e->kinds, k);
+	while ((k = RB_MIN(entry_route_stats_tree, &e->route_stats)) != NULL) {
+		RB_REMOVE(entry_route_stats_tree, &e->route_stats, k);
 		g_free(k);
 	}
 }
@@ -95,11 +97,11 @@
 static void
 text_codes(GString *s, struct entry *e)
 {
-	struct entry_kind *k;
+	struct entry_route_stats *k;
 	unsigned int i;
 
 	text_head(s, "requests_total", "counter", "Requests by route and end.");
-	RB_FOREACH (k, entry_kinds, &e->kinds) {
+	RB_FOREACH (k, entry_route_stats_tree, &e->route_stats) {
 		for (i = 0; i < JOB_CODES; i++) {
 			if (k->codes[i] == 0)
 				continue;
@@ -117,7 +119,7 @@
 }
 
 static void
-text_buckets(GString *s, const char *name, const struct entry_kind *k,
+text_buckets(GString *s, const char *name, const struct entry_route_stats *k,
     const struct metrics_histogram *h)
 {
 	uint64_t sum = 0;
@@ -141,16 +143,16 @@
 static void
 text_histograms(GString *s, struct entry *e)
 {
-	struct entry_kind *k;
+	struct entry_route_stats *k;
 
 	text_head(s, "first_ms", "histogram", "Arrival to first byte.");
-	RB_FOREACH (k, entry_kinds, &e->kinds)
+	RB_FOREACH (k, entry_route_stats_tree, &e->route_stats)
 		text_buckets(s, "first_ms", k, &k->first);
 	text_head(s, "whole_ms", "histogram", "Arrival to the whole answer.");
-	RB_FOREACH (k, entry_kinds, &e->kinds)
-		text_buckets(s, "whole_ms", k, &k->whole);
+	RB_FOREACH (k, entry_route_stats_tree, &e->route_stats)
+		text_buckets(s, "whole_ms", k, &k->complete);
 	text_head(s, "gap_ms", "histogram", "Longest pause in a stream.");
-	RB_FOREACH (k, entry_kinds, &e->kinds)
+	RB_FOREACH (k, entry_route_stats_tree, &e->route_stats)
 		text_buckets(s, "gap_ms", k, &k->gap);
 }
 
@@ -294,10 +296,10 @@
 	    (int64_t)r->proofs);
 	text_value(s, "configurations_handed_total", "counter",
 	    "Taken up from another node, as the platform turned us away.",
-	    (int64_t)e->handed.taken);
+	    (int64_t)e->table_transfer.taken);
 	text_value(s, "configurations_handed_dropped_total", "counter",
 	    "Not asked for, or not to be understood.",
-	    (int64_t)e->handed.dropped);
+	    (int64_t)e->table_transfer.dropped);
 	text_value(s, "relay_news_total", "counter",
 	    "Changes read here that others were told of.", (int64_t)r->news);
 	text_value(
@@ -348,13 +350,14 @@
 static void
 dump_kinds(GString *s, struct entry *e)
 {
-	struct entry_kind *k;
+	struct entry_route_stats *k;
 
-	RB_FOREACH (k, entry_kinds, &e->kinds)
+	RB_FOREACH (k, entry_route_stats_tree, &e->route_stats)
 		g_string_append_printf(s,
 		    "route %s lasts-ms %.0f deviation-ms %.0f seen %" PRIu64
 		    "\n",
-		    k->route, k->lasts.mean, k->lasts.deviation, k->lasts.seen);
+		    k->route, k->total_time.mean, k->total_time.deviation,
+		    k->total_time.seen);
 }
 
 /* Limits and prompt lengths that this node has learned as coordinator. */
@@ -398,7 +401,7 @@
 		    " sends %u began %s\n",
 		    j->request.id, j->route != NULL ? j->route->name : "-",
 		    *j->server_name != '\0' ? j->server_name : "-",
-		    now - j->arrived, j->sends, j->began ? "yes" : "no");
+		    now - j->arrived, j->sends, j->answer_began ? "yes" : "no");
 }
 
 static void
--- a/entry-poison.c
+++ b/entry-poison.c
@@ -106,8 +106,8 @@
 	/* Start over each time: resuming one job may end others. */
 	while ((j = check_waiting(c)) != NULL) {
 		j->check = NULL;
-		poison_settled(&e->poison.core, now, j->same);
-		job_checked(j, now);
+		poison_settled(&e->poison.core, now, j->fingerprint);
+		job_server_checked(j, now);
 	}
 }
 
@@ -320,11 +320,11 @@
 	struct server_check *c;
 
 	/* A server that is not ready ends as planned. */
-	if (v->state != SERVER_READY || poison_id_is_none(j->same))
+	if (v->state != SERVER_READY || poison_id_is_none(j->fingerprint))
 		return false;
 	c = check_find(e, server_life(v));
 	if (c != NULL && c->state == CHECK_ENDED) {
-		poison_ended(&e->poison.core, now, j->same, c->life);
+		poison_ended(&e->poison.core, now, j->fingerprint, c->life);
 		return false;
 	}
 	if (c == NULL) {
@@ -332,7 +332,7 @@
 		loop_timer_set(&e->loop, &c->timer, now + CHECK_FIRST_MS);
 		loop_timer_set(&e->loop, &c->wait, now + CHECK_WAIT_MS);
 	}
-	g_array_append_val(c->aboard, j->same);
+	g_array_append_val(c->aboard, j->fingerprint);
 	if (!waits || !c->wait.set)
 		return false;
 	j->check = c;
@@ -344,10 +344,10 @@
 {
 	struct entry_poison *x = &j->owner->poison;
 
-	if (v->state != SERVER_READY || poison_id_is_none(j->same))
+	if (v->state != SERVER_READY || poison_id_is_none(j->fingerprint))
 		return;
 	x->left[x->next_left] =
-	    (struct poison_left){ j->same, server_life(v), now };
+	    (struct poison_left){ j->fingerprint, server_life(v), now };
 	x->next_left = (x->next_left + 1) % POISON_LEFT;
 }
 
@@ -393,7 +393,7 @@
 	struct entry *e = j->owner;
 	enum poison_verdict v;
 
-	j->run.id = j->same;
+	j->run.id = j->fingerprint;
 	j->run.arg = j;
 	v = poison_ask(&e->poison.core, now, &j->run);
 	if (v == POISON_GO)
@@ -401,7 +401,8 @@
 	entry_log(&e->log, now, ENTRY_LOG_NEEDED, LOG_EVENT_SUSPECT,
 	    LOG_TEXT(LOG_KEY_REQUEST, j->request.id),
 	    LOG_TEXT(LOG_KEY_OUTCOME, poison_verdict_name(v)),
-	    LOG_NUMBER(LOG_KEY_ENDS, poison_ends(&e->poison.core, j->same)));
+	    LOG_NUMBER(
+		LOG_KEY_ENDS, poison_ends(&e->poison.core, j->fingerprint)));
 	if (v != POISON_WAIT)
 		job_fail(j, now, JOB_POISON);
 	else
@@ -413,7 +414,7 @@
 entry_poison_refuses(const struct job *j, msec now)
 {
 	return !j->run.granted &&
-	       poison_is_condemned(&j->owner->poison.core, now, j->same);
+	       poison_is_condemned(&j->owner->poison.core, now, j->fingerprint);
 }
 
 static void
@@ -435,7 +436,7 @@
 	entry_log(&j->owner->log, now, ENTRY_LOG_NEEDED, LOG_EVENT_SUSPECT,
 	    LOG_TEXT(LOG_KEY_REQUEST, j->request.id),
 	    LOG_TEXT(LOG_KEY_OUTCOME, poison_verdict_name(v)),
-	    LOG_NUMBER(LOG_KEY_ENDS, poison_ends(p, j->same)));
+	    LOG_NUMBER(LOG_KEY_ENDS, poison_ends(p, j->fingerprint)));
 	if (v == POISON_GO)
 		job_attempt(j, now);
 	else
@@ -449,7 +450,7 @@
 	struct job *j;
 
 	TAILQ_FOREACH (j, &e->jobs, entry) {
-		if (poison_id_equal(j->same, id) && j->link != NULL &&
+		if (poison_id_equal(j->fingerprint, id) && j->link != NULL &&
 		    !j->began_to_run)
 			return j;
 	}
@@ -465,12 +466,12 @@
 poison_op_condemned(struct poisons *p, struct poison_id id, msec now)
 {
 	struct entry *e = p->arg;
-	char same[POISON_ID_SIZE];
+	char fingerprint[POISON_ID_SIZE];
 	struct job *j;
 
-	poison_id_print(id, same);
+	poison_id_print(id, fingerprint);
 	entry_log(&e->log, now, ENTRY_LOG_NEEDED, LOG_EVENT_CONDEMNED,
-	    LOG_TEXT(LOG_KEY_SAME, same),
+	    LOG_TEXT(LOG_KEY_SAME, fingerprint),
 	    LOG_NUMBER(LOG_KEY_ENDS, poison_ends(p, id)));
 	while ((j = poison_unbegun(e, id)) != NULL) {
 		j->may_have_run |= j->link->sent;
--- a/entry-poison.h
+++ b/entry-poison.h
@@ -53,7 +53,7 @@
 /*
  * The connection of a request to a server broke: starts a check of the server's
  * process. The request becomes a suspect if the process has ended. Returns true
- * if the request must wait for the result; then job_checked() is called.
+ * if the request must wait for the result; then job_server_checked() is called.
  */
 bool entry_poison_broke(struct job *, const struct server *, bool waits, msec);
 /* A request was abandoned while the server was running it. */
--- a/entry-query.c
+++ b/entry-query.c
@@ -13,12 +13,12 @@
  * caller's failure domain for an answer with only these.
  */
 #define QUERY_NODES_MAX 64
-#define QUERY_DOMAIN_LEAST 2
+#define QUERY_DOMAIN_NODES_MIN 2
 /*
  * How long callers may cache an answer. Some cache it three times as long, so
  * callers stop using a stopping node after three times this value.
  */
-#define QUERY_LIFE_MS 1000
+#define QUERY_CACHE_MS 1000
 /*
  * A stopping node accepts new callers for so long, if it has time to finish
  * their requests.
@@ -26,13 +26,13 @@
 #define QUERY_LEAVING_MS 3000
 
 static void query_request(struct caller *, msec);
-static void query_nothing(struct caller *, msec);
+static void query_ignore(struct caller *, msec);
 
-const struct caller_ops query_caller_ops = { query_request, query_nothing,
-	query_nothing };
+const struct caller_ops query_caller_ops = { query_request, query_ignore,
+	query_ignore };
 
 static void
-query_nothing(struct caller *c, msec now)
+query_ignore(struct caller *c, msec now)
 {
 }
 
@@ -62,7 +62,7 @@
 
 /* Keep a random subset, drawn anew for each answer. */
 static void
-query_shorten(struct entry *e, GPtrArray *nodes)
+query_sample(struct entry *e, GPtrArray *nodes)
 {
 	guint at;
 
@@ -77,7 +77,7 @@
  * all live nodes: they still serve routes that need no API key.
  */
 static void
-query_collect_any(struct entry *e, GPtrArray *nodes)
+query_collect_live(struct entry *e, GPtrArray *nodes)
 {
 	struct member *m;
 
@@ -118,22 +118,22 @@
 	struct buffer body = { 0 };
 
 	query_collect(e, domain, nodes, now);
-	if (nodes->len < QUERY_DOMAIN_LEAST) {
+	if (nodes->len < QUERY_DOMAIN_NODES_MIN) {
 		g_ptr_array_set_size(nodes, 0);
 		query_collect(e, NULL, nodes, now);
 	}
 	if (nodes->len == 0)
-		query_collect_any(e, nodes);
+		query_collect_live(e, nodes);
 	if (nodes->len == 0)
 		query_collect_leaving(e, nodes, now);
-	query_shorten(e, nodes);
+	query_sample(e, nodes);
 	if (nodes->len == 0) {
 		caller_answer(
 		    c, now, 503, "Retry-After: 1\r\n", "text/plain", "", true);
 		return;
 	}
 	e->wire->directory(&body, (const struct member *const *)nodes->pdata,
-	    nodes->len, QUERY_LIFE_MS);
+	    nodes->len, QUERY_CACHE_MS);
 	buffer_add(&body, "", 1);
 	caller_answer(
 	    c, now, 200, "", e->wire->content_type, buffer_bytes(&body), true);
--- a/entry-rate.c
+++ b/entry-rate.c
@@ -18,7 +18,7 @@
 }
 
 static void
-rate_log_named(struct entry *e, const struct server *v, uint64_t sent, msec now)
+rate_log_value(struct entry *e, const struct server *v, uint64_t sent, msec now)
 {
 	char text[RATE_TEXT_SIZE] = "none";
 
@@ -29,7 +29,7 @@
 
 /* Log an unreadable rate once for each process of the server. */
 static void
-rate_odd(struct entry *e, struct server *v, msec now)
+rate_log_unreadable(struct entry *e, struct server *v, msec now)
 {
 	e->counters.rates_unreadable++;
 	if (!v->rate.unreadable)
@@ -38,7 +38,7 @@
 }
 
 void
-entry_rate_heard(struct link *k, const struct http_head *h, msec now)
+entry_rate_read(struct link *k, const struct http_head *h, msec now)
 {
 	struct entry *e = k->owner;
 	struct server *v = k->server;
@@ -54,18 +54,18 @@
 	    (!a.genuine && !a.not_executed))
 		return;
 	if (a.rate == WIRE_RATE_UNREADABLE) {
-		rate_odd(e, v, now);
+		rate_log_unreadable(e, v, now);
 		return;
 	}
 	if (!server_rate_update(&v->rate, now, now, a.per_s))
 		return;
 	e->counters.rates++;
-	rate_log_named(e, v, sent, now);
+	rate_log_value(e, v, sent, now);
 	place_rate_received(&e->place, now, v);
 }
 
 void
-entry_rate_told(struct place *p, struct server *v, msec now)
+entry_rate_log_received(struct place *p, struct server *v, msec now)
 {
-	rate_log_named(p->arg, v, 0, now);
+	rate_log_value(p->arg, v, 0, now);
 }
--- a/entry-relay.c
+++ b/entry-relay.c
@@ -15,19 +15,19 @@
  * of the bounds on revoked keys and on configuration changes: a node whose
  * reader stops answering reads the platform itself at 1.5 times that age.
  */
-#define RELAY_KEYS_PERCENT 25
-#define RELAY_CHANGE_PERCENT 45
-#define RELAY_MOST_MS 1000
+#define RELAY_KEYS_BOUND_PERCENT 25
+#define RELAY_CHANGE_BOUND_PERCENT 45
+#define RELAY_AGE_MAX_MS 1000
 
 /* Servers in one message: fits a datagram even with names of maximum length. */
-#define RELAY_SERVERS_EACH 4
+#define RELAY_SERVERS_PER_MESSAGE 4
 /*
  * When more servers change at once, it is cheaper for each node to read the
  * list than to be sent the changes.
  */
-#define RELAY_SERVERS_NEWS 32
+#define RELAY_SERVERS_SENT_MAX 32
 /* Interval between reads of the server list before a configuration exists. */
-#define RELAY_UNUSED_MS 5000
+#define RELAY_SERVERS_UNUSED_MS 5000
 /*
  * Intervals between reads of the node list, for readers and for other nodes.
  * Nodes learn of each other by gossip; the list is needed only to rejoin parts
@@ -61,7 +61,7 @@
 }
 
 static void
-entry_relay_look(struct relay *r, enum relay_subject s, msec now)
+entry_relay_read_source(struct relay *r, enum relay_subject s, msec now)
 {
 	struct entry *e = entry_of_relay(r);
 
@@ -96,7 +96,7 @@
 
 /* Number of servers that changed since the last message about them. */
 static unsigned int
-servers_untold(struct servers *all)
+servers_count_changed(struct servers *all)
 {
 	struct server *v;
 	unsigned int n = 0;
@@ -113,11 +113,11 @@
  * an earlier one was lost, the receiver ignores it and reads the platform.
  */
 static void
-entry_relay_news(
+entry_relay_send_servers(
     struct relay *r, enum relay_subject s, const name_id *to, unsigned int n)
 {
 	struct entry *e = entry_of_relay(r);
-	sp_server list[RELAY_SERVERS_EACH];
+	sp_server list[RELAY_SERVERS_PER_MESSAGE];
 	sp_msg msg = { .kind = SP_RELAY_SERVERS };
 	sp_relay_servers *m = &msg.sp_msg_u.relay_servers;
 	struct server *v;
@@ -127,7 +127,8 @@
 		return;
 	RB_FOREACH (v, server_tree, &e->servers.tree)
 		mark += v->sent_mark;
-	if (mark == 0 || servers_untold(&e->servers) > RELAY_SERVERS_NEWS) {
+	if (mark == 0 ||
+	    servers_count_changed(&e->servers) > RELAY_SERVERS_SENT_MAX) {
 		RB_FOREACH (v, server_tree, &e->servers.tree)
 			v->sent_mark = server_mark(v);
 		return;
@@ -141,7 +142,7 @@
 		server_encode(&list[m->list.list_len++], v);
 		mark += own - v->sent_mark;
 		v->sent_mark = own;
-		if (m->list.list_len < RELAY_SERVERS_EACH)
+		if (m->list.list_len < RELAY_SERVERS_PER_MESSAGE)
 			continue;
 		m->after = entry_era_mark(e, mark);
 		relay_send_all(r, to, n, &msg);
@@ -162,7 +163,7 @@
 }
 
 static void
-server_take(struct entry *e, const sp_server *m, msec now)
+server_apply_change(struct entry *e, const sp_server *m, msec now)
 {
 	struct server_entry entry = { .name = m->name,
 		.service = m->service,
@@ -181,7 +182,7 @@
 }
 
 void
-entry_relay_servers(
+entry_relay_receive_servers(
     struct entry *e, name_id from, const sp_relay_servers *m, msec now)
 {
 	uint64_t mark = entry_era_mark(e, servers_mark(&e->servers));
@@ -194,7 +195,7 @@
 			return;
 	}
 	for (i = 0; i < m->list.list_len; i++)
-		server_take(e, &m->list.list_val[i], now);
+		server_apply_change(e, &m->list.list_val[i], now);
 	mark = entry_era_mark(e, servers_mark(&e->servers));
 	if (mark != m->after)
 		return;
@@ -204,16 +205,17 @@
 }
 
 static const struct relay_ops entry_relay_ops = { entry_relay_send,
-	entry_relay_proven, entry_relay_look, entry_relay_news };
+	entry_relay_proven, entry_relay_read_source, entry_relay_send_servers };
 
 static msec
-entry_relay_every(const struct entry *e)
+entry_relay_max_age(const struct entry *e)
 {
-	msec every = RELAY_MOST_MS, change = e->settings->change_bound;
+	msec every = RELAY_AGE_MAX_MS, change = e->settings->change_bound;
 
 	if (e->fresh.bound != 0)
-		every = MIN(every, e->fresh.bound * RELAY_KEYS_PERCENT / 100);
-	return MAX(MIN(every, change * RELAY_CHANGE_PERCENT / 100), 1);
+		every =
+		    MIN(every, e->fresh.bound * RELAY_KEYS_BOUND_PERCENT / 100);
+	return MAX(MIN(every, change * RELAY_CHANGE_BOUND_PERCENT / 100), 1);
 }
 
 void
@@ -235,7 +237,7 @@
 }
 
 void
-entry_take_nothing(struct entry *e, enum relay_subject s, msec asked)
+entry_take_unusable(struct entry *e, enum relay_subject s, msec asked)
 {
 	relay_read_unusable(&e->relay, s, asked);
 }
@@ -252,7 +254,7 @@
 {
 	relay_read_failed(&e->relay, now, s);
 	if (s == RELAY_CONFIGURATION)
-		entry_table_ask(e, now);
+		entry_table_request(e, now);
 }
 
 /* Servers are not used before there is a configuration. */
@@ -262,12 +264,12 @@
 	msec due = relay_due(&e->relay, now, s);
 
 	return e->table == NULL && s == RELAY_SERVERS
-		   ? MAX(due, RELAY_UNUSED_MS)
+		   ? MAX(due, RELAY_SERVERS_UNUSED_MS)
 		   : due;
 }
 
 msec
-entry_nodes_every(const struct entry *e)
+entry_nodes_interval(const struct entry *e)
 {
 	return e->relay.reader == e->relay.self ? RELAY_NODES_MS
 						: RELAY_NODES_OTHERS_MS;
@@ -284,14 +286,14 @@
 void
 entry_relay_apply(struct entry *e)
 {
-	e->relay.every = entry_relay_every(e);
+	e->relay.every = entry_relay_max_age(e);
 }
 
 void
 entry_relay_init(struct entry *e, msec now)
 {
 	relay_init(&e->relay, &entry_relay_ops, name_hash(e->settings->node),
-	    entry_relay_every(e));
+	    entry_relay_max_age(e));
 	e->relay.arg = e;
 	loop_timer_init(&e->relay_timer, entry_relay_timer, e);
 	loop_timer_set(&e->loop, &e->relay_timer, now);
--- a/entry-reply.c
+++ b/entry-reply.c
@@ -13,18 +13,18 @@
 #include <string.h>
 
 /* Larger answers are forwarded as they arrive. */
-#define REPLY_HOLD_MAX (256 * 1024)
+#define REPLY_BUFFER_MAX (256 * 1024)
 /* A longer event is taken as an error of the server. */
 #define REPLY_EVENT_MAX (256 * 1024)
 
-enum reply_verdict
-reply_judge(const struct job *j, const struct http_head *h)
+enum reply_class
+reply_classify(const struct job *j, const struct http_head *h)
 {
 	struct wire_answer a;
 
 	j->owner->wire->answer(h, j->request.id, &a);
 	if (a.other)
-		return REPLY_STRAY;
+		return REPLY_OTHER_REQUEST;
 	if (a.not_executed)
 		return REPLY_REJECTED;
 	/*
@@ -34,22 +34,22 @@
 	 */
 	if (h->status == 429 || h->status == 503 || h->status == 408 ||
 	    h->status == 421)
-		return h->status == 421 ? REPLY_REJECTED : REPLY_RUBBISH;
+		return h->status == 421 ? REPLY_REJECTED : REPLY_INVALID;
 	if (!a.ours || a.encoded || h->status < 200)
-		return REPLY_RUBBISH;
+		return REPLY_INVALID;
 	if (h->status < 300)
-		return a.genuine ? REPLY_TAKE : REPLY_RUBBISH;
-	return h->status >= 500 ? REPLY_FAILURE : REPLY_TAKE;
+		return a.genuine ? REPLY_FORWARD : REPLY_INVALID;
+	return h->status >= 500 ? REPLY_SERVER_ERROR : REPLY_FORWARD;
 }
 
 void
-reply_head(struct job *j, const struct http_head *h)
+reply_store_head(struct job *j, const struct http_head *h)
 {
 	const char *type = http_head_get(h, "Content-Type");
 	unsigned int i;
 
 	buffer_finish(&j->fields);
-	buffer_finish(&j->held);
+	buffer_finish(&j->unsent_body);
 	j->status = h->status;
 	j->server_error = h->status >= 500;
 	j->streamed = j->route->kind == ROUTE_STREAM && h->status < 300 &&
@@ -66,16 +66,16 @@
 }
 
 void
-reply_forget(struct job *j)
+reply_discard(struct job *j)
 {
-	buffer_finish(&j->held);
-	if (!j->began)
+	buffer_finish(&j->unsent_body);
+	if (!j->answer_began)
 		buffer_finish(&j->fields);
 }
 
 /* A stopping node closes its connections, so that callers use other nodes. */
 static bool
-reply_keeps(const struct job *j)
+reply_keeps_connection(const struct job *j)
 {
 	return j->owner->phase == ENTRY_SERVING && j->head->keep_alive;
 }
@@ -85,43 +85,44 @@
 {
 	struct buffer *out = &j->caller->out;
 
-	j->began = true;
+	j->answer_began = true;
 	j->first_at = now;
 	buffer_printf(
 	    out, "HTTP/1.1 %u %s\r\n", j->status, http_status_text(j->status));
 	buffer_add(out, buffer_bytes(&j->fields), buffer_left(&j->fields));
 	buffer_finish(&j->fields);
-	j->keeps = reply_keeps(j);
-	if (!j->keeps)
+	j->keeps_connection = reply_keeps_connection(j);
+	if (!j->keeps_connection)
 		buffer_add_text(out, "Connection: close\r\n");
 	j->chunked = !whole;
 	if (whole)
-		buffer_printf(
-		    out, "Content-Length: %zu\r\n\r\n", buffer_left(&j->held));
+		buffer_printf(out, "Content-Length: %zu\r\n\r\n",
+		    buffer_left(&j->unsent_body));
 	else
 		buffer_add_text(out, "Transfer-Encoding: chunked\r\n\r\n");
 }
 
 static void
-reply_pass(struct job *j, const char *bytes, size_t n, msec now)
+reply_forward(struct job *j, const char *bytes, size_t n, msec now)
 {
 	struct buffer *out = &j->caller->out;
 	char size[24];
 
 	if (n == 0)
 		return;
-	if (!j->began)
+	if (!j->answer_began)
 		reply_begin(j, now, false);
 	else
-		j->gap = MAX(j->gap, now - j->passed_at);
-	j->passed_at = now;
+		j->gap = MAX(j->gap, now - j->forwarded_at);
+	j->forwarded_at = now;
 	g_snprintf(size, sizeof size, "%zx\r\n", n);
 	buffer_add_text(out, size);
 	buffer_add(out, bytes, n);
 	buffer_add(out, "\r\n", 2);
 	caller_flush(j->caller);
 	if (j->link != NULL)
-		link_pause(j->link, caller_backlog(j->caller) > CALLER_HIGH);
+		link_pause(
+		    j->link, caller_unsent(j->caller) > CALLER_HIGH_WATER);
 }
 
 /* Parse the number in an event's line "id: N"; false without such a line. */
@@ -165,7 +166,7 @@
  * repeated events.
  */
 static bool
-reply_event(struct job *j, const char *event, size_t n)
+reply_check_event(struct job *j, const char *event, size_t n)
 {
 	uint64_t number;
 
@@ -185,66 +186,67 @@
 }
 
 static bool
-reply_events(struct job *j, msec now)
+reply_forward_events(struct job *j, msec now)
 {
-	const char *bytes = buffer_bytes(&j->held);
-	size_t left = buffer_left(&j->held), at = 0, n;
+	const char *bytes = buffer_bytes(&j->unsent_body);
+	size_t left = buffer_left(&j->unsent_body), at = 0, n;
 	bool good = true;
 
 	while ((n = event_length(bytes + at, left - at)) > 0) {
-		if (!(good = reply_event(j, bytes + at, n)))
+		if (!(good = reply_check_event(j, bytes + at, n)))
 			break;
 		at += n;
 	}
-	reply_pass(j, bytes, at, now);
+	reply_forward(j, bytes, at, now);
 	if (at > 0)
-		buffer_drop(&j->held, at);
-	return good && buffer_left(&j->held) <= REPLY_EVENT_MAX;
+		buffer_drop(&j->unsent_body, at);
+	return good && buffer_left(&j->unsent_body) <= REPLY_EVENT_MAX;
 }
 
 bool
 reply_body(struct job *j, const char *bytes, size_t n, msec now)
 {
-	buffer_add(&j->held, bytes, n);
+	buffer_add(&j->unsent_body, bytes, n);
 	if (j->head->old)
 		return true;
 	if (j->streamed)
-		return reply_events(j, now);
-	if (j->began || buffer_left(&j->held) > REPLY_HOLD_MAX) {
-		reply_pass(
-		    j, buffer_bytes(&j->held), buffer_left(&j->held), now);
-		buffer_finish(&j->held);
+		return reply_forward_events(j, now);
+	if (j->answer_began ||
+	    buffer_left(&j->unsent_body) > REPLY_BUFFER_MAX) {
+		reply_forward(j, buffer_bytes(&j->unsent_body),
+		    buffer_left(&j->unsent_body), now);
+		buffer_finish(&j->unsent_body);
 	}
 	return true;
 }
 
 bool
-reply_whole(struct job *j, msec now)
+reply_finish(struct job *j, msec now)
 {
 	struct caller *c = j->caller;
 
-	if (!j->began) {
+	if (!j->answer_began) {
 		reply_begin(j, now, true);
 		if (strcmp(j->head->method, "HEAD") != 0)
-			buffer_add(&c->out, buffer_bytes(&j->held),
-			    buffer_left(&j->held));
+			buffer_add(&c->out, buffer_bytes(&j->unsent_body),
+			    buffer_left(&j->unsent_body));
 	} else {
-		reply_pass(
-		    j, buffer_bytes(&j->held), buffer_left(&j->held), now);
+		reply_forward(j, buffer_bytes(&j->unsent_body),
+		    buffer_left(&j->unsent_body), now);
 		caller_write_text(c, "0\r\n\r\n");
 	}
-	buffer_finish(&j->held);
+	buffer_finish(&j->unsent_body);
 	/*
 	 * Use what the head announced, not the current phase: a caller that got
 	 * no "Connection: close" sends its next request on this connection,
 	 * where it would be read and discarded.
 	 */
-	caller_ended(c, now, j->keeps);
+	caller_finish_answer(c, now, j->keeps_connection);
 	return true;
 }
 
 void
-reply_own(
+reply_write_local(
     struct job *j, msec now, unsigned int status, msec retry_after, bool keep)
 {
 	struct buffer fields = { 0 };
@@ -256,6 +258,6 @@
 		    (double)retry_after / MSEC_SECOND);
 	buffer_add(&fields, "", 1);
 	caller_answer(j->caller, now, status, buffer_bytes(&fields),
-	    "application/json", "{}", keep && reply_keeps(j));
+	    "application/json", "{}", keep && reply_keeps_connection(j));
 	buffer_finish(&fields);
 }
--- a/entry-settings.c
+++ b/entry-settings.c
@@ -92,7 +92,7 @@
 }
 
 void
-entry_settings_look(struct entry *e, msec now)
+entry_settings_check(struct entry *e, msec now)
 {
 	int64_t stamp = settings_stamp(e->settings_file);
 
--- a/entry-state.c
+++ b/entry-state.c
@@ -52,7 +52,7 @@
 								  : "gone"),
 	    LOG_NUMBER(LOG_KEY_RUNNING, v->own.running));
 	entry_poison_listed(e, v, e->loop.now);
-	link_leave(e, v);
+	link_close_stale(e, v);
 }
 
 static void
@@ -111,7 +111,7 @@
 	else if (msg->kind >= SP_DUTY_BEAT)
 		entry_duty_receive(e, from, incarnation, msg, msec_now());
 	else if (msg->kind == SP_RELAY_SERVERS)
-		entry_relay_servers(
+		entry_relay_receive_servers(
 		    e, from, &msg->sp_msg_u.relay_servers, msec_now());
 	else if (msg->kind >= SP_RELAY_ASK)
 		relay_receive(&e->relay, msec_now(), from, msg);
@@ -143,7 +143,7 @@
 }
 
 static const struct place_ops state_place_ops = { state_place_send, job_placed,
-	entry_rate_told };
+	entry_rate_log_received };
 
 static void
 state_place_timer(struct loop_timer *t, msec now)
@@ -154,7 +154,7 @@
 }
 
 void
-entry_place_soon(struct entry *e, msec now)
+entry_place_arm_timer(struct entry *e, msec now)
 {
 	state_place_timer(&e->place_timer, now);
 }
@@ -164,7 +164,7 @@
  * The age is negative if that node's clock is ahead of the local one.
  */
 msec
-entry_age(uint64_t incarnation)
+entry_process_age(uint64_t incarnation)
 {
 	return (g_get_real_time() - (int64_t)incarnation) / 1000;
 }
@@ -184,8 +184,9 @@
 	RB_FOREACH (m, member_tree, &e->members.tree)
 		n++;
 	nodes = g_new0(struct place_node, n);
-	nodes[0] = (struct place_node){ e->members.self.id,
-		e->phase == ENTRY_SERVING, entry_age(e->incarnation), false };
+	nodes[0] =
+	    (struct place_node){ e->members.self.id, e->phase == ENTRY_SERVING,
+		    entry_process_age(e->incarnation), false };
 	e->live_nodes = 1;
 	n = 1;
 	RB_FOREACH (m, member_tree, &e->members.tree) {
@@ -194,7 +195,7 @@
 		e->live_nodes++;
 		nodes[n++] = (struct place_node){ m->id,
 			m->state == MEMBER_ALIVE && !m->leaving,
-			entry_age(m->incarnation), false };
+			entry_process_age(m->incarnation), false };
 	}
 	place_set_nodes(&e->place, now, nodes, n);
 	takers = g_new(name_id, n);
@@ -251,7 +252,7 @@
 	if (e->phase == ENTRY_STARTING) {
 		e->phase = ENTRY_SERVING;
 		e->source->ops->read(e->source, RELAY_SERVERS);
-		e->era_written = entry_era_settled(e, now);
+		e->era_recorded = entry_era_settled(e, now);
 		e->source->ops->announce(e->source);
 	}
 }
@@ -276,7 +277,7 @@
 	if (!e->source_up)
 		return;
 	e->source_up = false;
-	e->source_lost = now;
+	e->source_lost_since = now;
 	entry_log(&e->log, now, ENTRY_LOG_NEEDED, LOG_EVENT_PLATFORM_LOST,
 	    LOG_TEXT(LOG_KEY_REASON, why),
 	    LOG_NUMBER(LOG_KEY_PROOF_MS, fresh_age(&e->fresh, now)));
@@ -290,7 +291,7 @@
 	e->source_up = true;
 	servers_keep_unlisted(&e->servers, now + STATE_HOLD_MS);
 	entry_log(&e->log, now, ENTRY_LOG_NEEDED, LOG_EVENT_PLATFORM_BACK,
-	    LOG_NUMBER(LOG_KEY_MS, now - e->source_lost));
+	    LOG_NUMBER(LOG_KEY_MS, now - e->source_lost_since));
 }
 
 bool
--- a/entry-stop.c
+++ b/entry-stop.c
@@ -13,16 +13,16 @@
  * the process ends. Requests that are left shortly before the platform kills
  * the process are answered with an error.
  */
-#define STOP_CALLERS_MS 3000
-#define STOP_LEAST_MS (STOP_CALLERS_MS + 500)
+#define STOP_CALLERS_CACHE_MS 3000
+#define STOP_MIN_MS (STOP_CALLERS_CACHE_MS + 500)
 #define STOP_QUIET_MS 400
 #define STOP_MARGIN_MS 500
 #define STOP_DEFAULT_MS 8000
 /* Minimum time for requests in flight after a paused VM resumes. */
-#define STOP_AWAKE_MS 1000
+#define STOP_AFTER_RESUME_MS 1000
 
 void
-entry_leave(struct entry *e, msec now)
+entry_begin_stop(struct entry *e, msec now)
 {
 	if (e->phase == ENTRY_LEAVING)
 		return;
@@ -35,7 +35,7 @@
 	 * longer than the platform allows.
 	 */
 	e->leaving_since = e->loop.before;
-	e->leaving_read = now;
+	e->stop_signal_read = now;
 	e->source->ops->retract(e->source);
 	entry_duty_leave(e, now);
 	members_leave(&e->members, now);
@@ -44,7 +44,7 @@
 
 /* When requests that are still in flight are ended. */
 static msec
-stop_end(const struct entry *e)
+stop_cut_time(const struct entry *e)
 {
 	msec span = e->settings->stop_deadline;
 
@@ -63,12 +63,12 @@
  * as many deviations.
  */
 static msec
-stop_needs(
-    const struct entry *e, const struct entry_kind *k, msec now, msec most)
+stop_time_needed(const struct entry *e, const struct entry_route_stats *k,
+    msec now, msec most)
 {
-	if (k == NULL || now - e->leaving_since >= STOP_CALLERS_MS)
+	if (k == NULL || now - e->leaving_since >= STOP_CALLERS_CACHE_MS)
 		return most;
-	return duration_most(&k->lasts, most);
+	return duration_most(&k->total_time, most);
 }
 
 /*
@@ -79,23 +79,23 @@
 bool
 entry_stop_leaves_time(struct entry *e, struct job *j, msec now)
 {
-	msec left = stop_end(e) - now, most = left + 1;
-	struct entry_kind *k;
+	msec left = stop_cut_time(e) - now, most = left + 1;
+	struct entry_route_stats *k;
 
 	if (e->phase != ENTRY_LEAVING)
 		return true;
 	if (j->deadline != MSEC_NEVER)
 		most = j->deadline - now;
-	k = entry_kind_find(e, j->route->name);
-	j->needs = stop_needs(e, k, now, most);
-	if (j->needs <= left)
+	k = entry_route_stats_find(e, j->route->name);
+	j->time_needed = stop_time_needed(e, k, now, most);
+	if (j->time_needed <= left)
 		return true;
 	entry_log(&e->log, now, ENTRY_LOG_NEEDED, LOG_EVENT_NO_TIME_LEFT,
 	    LOG_TEXT(LOG_KEY_REQUEST, j->request.id),
 	    LOG_TEXT(LOG_KEY_ROUTE, j->route->name),
-	    LOG_NUMBER(LOG_KEY_NEEDS_MS, j->needs),
+	    LOG_NUMBER(LOG_KEY_NEEDS_MS, j->time_needed),
 	    LOG_NUMBER(LOG_KEY_STOP_MS, left),
-	    LOG_NUMBER(LOG_KEY_SEEN, k != NULL ? k->lasts.seen : 0));
+	    LOG_NUMBER(LOG_KEY_SEEN, k != NULL ? k->total_time.seen : 0));
 	return false;
 }
 
@@ -110,12 +110,13 @@
 	 * arrived at the end of the pause, the platform still allows the whole
 	 * time, so requests in flight are not cut off at once.
 	 */
-	if (now >= stop_end(e) && now - e->leaving_read >= STOP_AWAKE_MS) {
-		job_cut_all(e, now);
+	if (now >= stop_cut_time(e) &&
+	    now - e->stop_signal_read >= STOP_AFTER_RESUME_MS) {
+		job_stop_all(e, now);
 		e->loop.stopping = true;
 		return;
 	}
-	if (now - e->leaving_since < STOP_LEAST_MS || e->njobs > 0 ||
+	if (now - e->leaving_since < STOP_MIN_MS || e->njobs > 0 ||
 	    now - e->last_request < STOP_QUIET_MS)
 		return;
 	caller_close_idle(e);
--- a/entry-table.c
+++ b/entry-table.c
@@ -15,17 +15,18 @@
 void
 entry_table_init(struct entry *e)
 {
-	e->handed = (struct entry_table){ .text = g_byte_array_new() };
+	e->table_transfer =
+	    (struct entry_table_transfer){ .text = g_byte_array_new() };
 }
 
 void
 entry_table_finish(struct entry *e)
 {
-	g_byte_array_unref(e->handed.text);
+	g_byte_array_unref(e->table_transfer.text);
 }
 
 static void
-table_forget(struct entry_table *t)
+table_transfer_reset(struct entry_table_transfer *t)
 {
 	t->version = 0;
 	t->total = 0;
@@ -38,7 +39,7 @@
  * complete read?
  */
 static bool
-table_is_behind(const struct entry *e)
+table_is_outdated(const struct entry *e)
 {
 	const struct relay_freshness *k = &e->relay.known[RELAY_CONFIGURATION];
 
@@ -46,14 +47,14 @@
 }
 
 void
-entry_table_ask(struct entry *e, msec now)
+entry_table_request(struct entry *e, msec now)
 {
-	struct entry_table *t = &e->handed;
+	struct entry_table_transfer *t = &e->table_transfer;
 	struct member *m = members_find(&e->members, e->relay.reader);
 	sp_msg msg = { .kind = SP_TABLE_ASK };
 	sp_table_ask *ask = &msg.sp_msg_u.table_ask;
 
-	if (m == NULL || !table_is_behind(e))
+	if (m == NULL || !table_is_outdated(e))
 		return;
 	ask->have = e->table->version;
 	ask->want = t->version;
@@ -85,7 +86,7 @@
 }
 
 static bool
-table_is_whole(const struct entry_table *t)
+table_is_complete(const struct entry_table_transfer *t)
 {
 	uint32_t n =
 	    (t->total + SAVORY_TABLE_PART_MAX - 1) / SAVORY_TABLE_PART_MAX;
@@ -94,7 +95,7 @@
 }
 
 static void
-table_answer(
+table_send_parts(
     struct entry *e, uint32_t address, uint16_t port, const sp_table_ask *ask)
 {
 	const struct route_table *t = e->table;
@@ -127,15 +128,15 @@
  * is the newest one: that comes from the reader's answers (relay.h).
  */
 static void
-table_take_whole(struct entry *e, msec now)
+table_apply(struct entry *e, msec now)
 {
-	struct entry_table *t = &e->handed;
+	struct entry_table_transfer *t = &e->table_transfer;
 	struct route_table *table;
 	uint64_t version = t->version;
 
 	table = e->source->ops->decode_table(
 	    e->source, (const char *)t->text->data, t->text->len);
-	table_forget(t);
+	table_transfer_reset(t);
 	if (table == NULL || table->version != version) {
 		t->dropped++;
 		route_table_drop(table);
@@ -148,9 +149,9 @@
 }
 
 static void
-table_take_part(struct entry *e, const sp_table_part *p, msec now)
+table_receive_part(struct entry *e, const sp_table_part *p, msec now)
 {
-	struct entry_table *t = &e->handed;
+	struct entry_table_transfer *t = &e->table_transfer;
 
 	if (e->table == NULL || p->table <= e->table->version)
 		return;
@@ -159,7 +160,7 @@
 		return;
 	}
 	if (t->version != p->table || t->total != p->total) {
-		table_forget(t);
+		table_transfer_reset(t);
 		t->version = p->table;
 		t->total = p->total;
 		g_byte_array_set_size(t->text, p->total);
@@ -167,8 +168,8 @@
 	memcpy(t->text->data + p->part * SAVORY_TABLE_PART_MAX,
 	    p->bytes.bytes_val, p->bytes.bytes_len);
 	t->parts |= (uint64_t)1 << p->part;
-	if (table_is_whole(t))
-		table_take_whole(e, now);
+	if (table_is_complete(t))
+		table_apply(e, now);
 }
 
 void
@@ -177,15 +178,15 @@
 {
 	if (msg->kind == SP_TABLE_ASK) {
 		if (members_find(&e->members, from) != NULL)
-			table_answer(
+			table_send_parts(
 			    e, address, port, &msg->sp_msg_u.table_ask);
 		return;
 	}
 	if (from == e->relay.reader) {
-		table_take_part(e, &msg->sp_msg_u.table_part, now);
+		table_receive_part(e, &msg->sp_msg_u.table_part, now);
 		return;
 	}
 	log_debug("dropped a configuration part from a node other than the "
 		  "reader");
-	e->handed.dropped++;
+	e->table_transfer.dropped++;
 }
--- a/entry-table.h
+++ b/entry-table.h
@@ -14,7 +14,7 @@
 struct entry;
 
 /* A configuration's text as received so far. */
-struct entry_table {
+struct entry_table_transfer {
 	uint64_t version; /* 0: none */
 	uint32_t total;	  /* bytes of the whole text */
 	GByteArray *text; /* `total` bytes; missing parts are undefined */
@@ -28,7 +28,7 @@
  * Request the configuration from this node's reader, if another node has
  * reported a different one.
  */
-void entry_table_ask(struct entry *, msec);
+void entry_table_request(struct entry *, msec);
 /* Handle a message of kind SP_TABLE_ASK or SP_TABLE_PART from a node. */
 void entry_table_receive(struct entry *, name_id from, uint32_t address,
     uint16_t port, const sp_msg *, msec);
--- a/entry.c
+++ b/entry.c
@@ -16,7 +16,7 @@
 
 #define ENTRY_TICK_MS 100
 /* Interval between checks of the settings file for changes. */
-#define ENTRY_SETTINGS_MS 1000
+#define ENTRY_SETTINGS_CHECK_MS 1000
 static void
 entry_signal(struct loop_io *io, uint32_t events)
 {
@@ -28,7 +28,7 @@
 		if (si.ssi_signo == SIGHUP)
 			entry_settings_read(e, e->loop.now);
 		else
-			entry_leave(e, e->loop.now);
+			entry_begin_stop(e, e->loop.now);
 	}
 }
 
@@ -56,19 +56,19 @@
 
 	entry_state_tick(e, now);
 	entry_stop_tick(e, now);
-	if (now >= e->settings_look) {
-		e->settings_look = now + ENTRY_SETTINGS_MS;
-		entry_settings_look(e, now);
+	if (now >= e->settings_check_at) {
+		e->settings_check_at = now + ENTRY_SETTINGS_CHECK_MS;
+		entry_settings_check(e, now);
 	}
 	loop_timer_set(&e->loop, t, now + ENTRY_TICK_MS);
 }
 
 static void
-entry_turn(struct loop *l, msec now)
+entry_turn_end(struct loop *l, msec now)
 {
 	struct entry *e = l->arg;
 
-	entry_place_soon(e, now);
+	entry_place_arm_timer(e, now);
 	entry_poison_soon(e, now);
 	net_flush(&e->net);
 	entry_log_flush(&e->log);
@@ -101,10 +101,10 @@
 	e->rand = g_rand_new();
 	TAILQ_INIT(&e->callers);
 	TAILQ_INIT(&e->jobs);
-	RB_INIT(&e->kinds);
+	RB_INIT(&e->route_stats);
 	if (!loop_init(&e->loop))
 		return false;
-	e->loop.turn = entry_turn;
+	e->loop.turn = entry_turn_end;
 	e->loop.arg = e;
 	entry_log_init(&e->log, e->settings->node);
 	if (!entry_watch_signals(e) || !entry_state_init(e, now) ||
@@ -121,7 +121,7 @@
 {
 	e->source->ops->finish(e->source);
 	entry_state_finish(e);
-	entry_kinds_free(e);
+	entry_route_stats_free(e);
 	entry_log_finish(&e->log);
 	loop_close(&e->loop, &e->signal_io);
 	loop_finish(&e->loop);
--- a/entry.h
+++ b/entry.h
@@ -68,7 +68,7 @@
 	void (*request)(struct caller *, msec);
 	/* The caller disconnected before its answer was complete. */
 	void (*gone)(struct caller *, msec);
-	/* The unsent bytes have fallen below CALLER_LOW. */
+	/* The unsent bytes have fallen below CALLER_LOW_WATER. */
 	void (*drained)(struct caller *, msec);
 };
 
@@ -76,7 +76,7 @@
 	struct loop_io io;
 	struct entry *entry;
 	const struct caller_ops *ops;
-	bool counts; /* a planned stop waits for its connections */
+	bool delays_stop; /* a planned stop waits for its connections */
 };
 
 struct caller {
@@ -89,19 +89,19 @@
 	struct buffer body;
 	struct buffer out;
 	struct loop_timer timer;
-	struct job *job; /* the current request, or NULL */
-	bool busy;	 /* a request waits for its answer */
-	bool closing;	 /* closes when all is written */
-	bool shut;	 /* the sending side is closed; waits for the peer */
-	bool eof;	 /* the peer has closed its sending side */
-	bool counts;	 /* from the listener */
-	msec accepted;	 /* time of accept() */
-	uint64_t served; /* answers completed */
+	struct job *job;   /* the current request, or NULL */
+	bool busy;	   /* a request waits for its answer */
+	bool closing;	   /* closes when all is written */
+	bool write_closed; /* the sending side is closed; waits for the peer */
+	bool eof;	   /* the peer has closed its sending side */
+	bool delays_stop;  /* from the listener */
+	msec accepted;	   /* time of accept() */
+	uint64_t served;   /* answers completed */
 };
 
 bool caller_listen(struct entry *, struct listener_io *,
-    const struct endpoint *, const struct caller_ops *, bool counts);
-/* Append bytes of an answer; call caller_ended() after the last. */
+    const struct endpoint *, const struct caller_ops *, bool delays_stop);
+/* Append bytes of an answer; call caller_finish_answer() after the last. */
 void caller_write(struct caller *, const char *, size_t);
 void caller_write_text(struct caller *, const char *);
 /* Send what has been written. */
@@ -110,36 +110,37 @@
  * The answer is complete. With `keep` the connection may be used for the next
  * request, else it is closed.
  */
-void caller_ended(struct caller *, msec, bool keep);
+void caller_finish_answer(struct caller *, msec, bool keep);
 /* Close the connection so that the caller sees an incomplete answer. */
-void caller_break(struct caller *, msec);
+void caller_break_answer(struct caller *, msec);
 /*
- * Write a complete answer of this node and call caller_ended(). `fields` are
- * header lines that end with CR LF; the body may be "".
+ * Write a complete answer of this node and call caller_finish_answer().
+ * `fields` are header lines that end with CR LF; the body may be "".
  */
 void caller_answer(struct caller *, msec, unsigned int status,
     const char *fields, const char *type, const char *body, bool keep);
 /* The peer's address as text, in INET_ADDRSTRLEN bytes; "" if unknown. */
 void caller_address(const struct caller *, char *);
 /* Number of bytes written but not yet sent. */
-size_t caller_backlog(const struct caller *);
+size_t caller_unsent(const struct caller *);
 /* Close the connections without a request. */
 void caller_close_idle(struct entry *);
 /*
  * Unsent bytes above which reading from the server is paused, and below which
  * it continues.
  */
-#define CALLER_HIGH (256 * 1024)
-#define CALLER_LOW (64 * 1024)
+#define CALLER_HIGH_WATER (256 * 1024)
+#define CALLER_LOW_WATER (64 * 1024)
 
 /* ---- connections to backend servers: entry-link.c ---- */
 
 /* How an attempt on a link ended without a whole answer. */
 enum link_end {
-	LINK_LEFT,    /* the server stops taking work; nothing was sent */
-	LINK_UNSENT,  /* the connection failed; nothing was sent */
-	LINK_UNHEARD, /* connecting timed out; nothing was sent */
-	LINK_BROKEN   /* bytes of the request may have reached the server */
+	LINK_SERVER_LEAVING, /* the server stops taking work; nothing was sent
+			      */
+	LINK_UNSENT,	     /* the connection failed; nothing was sent */
+	LINK_CONNECT_TIMED_OUT, /* connecting timed out; nothing was sent */
+	LINK_BROKEN /* bytes of the request may have reached the server */
 };
 
 /* Callbacks for the attempt on a link. */
@@ -153,9 +154,9 @@
 	bool (*head)(struct link *, const struct http_head *, msec);
 	void (*body)(struct link *, const char *, size_t, msec);
 	/* The answer is complete; the link no longer belongs to the job. */
-	void (*whole)(struct link *, msec);
+	void (*complete)(struct link *, msec);
 	/* The attempt failed; the link no longer belongs to the job. */
-	void (*ended)(struct link *, enum link_end, msec);
+	void (*failed)(struct link *, enum link_end, msec);
 };
 
 struct link {
@@ -170,12 +171,12 @@
 	struct buffer out;
 	struct loop_timer timer;
 	bool connecting;
-	bool used;     /* it has carried a complete answer */
-	bool sent;     /* a byte of the request was sent */
-	bool skip;     /* the current answer is discarded */
-	bool paused;   /* the caller does not read fast enough */
-	bool refused;  /* the server refused the connection */
-	msec idle_max; /* longest idle time before it is closed */
+	bool used;	      /* it has carried a complete answer */
+	bool sent;	      /* a byte of the request was sent */
+	bool discard_answer;  /* the current answer is discarded */
+	bool paused;	      /* the caller does not read fast enough */
+	bool connect_refused; /* the server refused the connection */
+	msec idle_limit;      /* longest idle time before it is closed */
 	msec idle_since;
 };
 
@@ -202,9 +203,9 @@
 void link_close_idle(struct entry *, struct server *);
 /*
  * The server's current process takes no more work: close idle links, and end
- * attempts that are still connecting with LINK_LEFT.
+ * attempts that are still connecting with LINK_SERVER_LEAVING.
  */
-void link_leave(struct entry *, struct server *);
+void link_close_stale(struct entry *, struct server *);
 void link_pool_free(struct server *);
 
 /* ---- requests: entry-job.c, entry-attempt.c, entry-reply.c ---- */
@@ -244,16 +245,16 @@
 	struct route_table *table;    /* a counted reference */
 	const struct route *route;
 	const struct route_organisation *organisation;
-	struct poison_id same;	    /* equal for repetitions by one caller */
-	struct poison_run run;	    /* permission to send, if it is suspect */
-	struct server_check *check; /* the check it waits for, or NULL */
+	struct poison_id fingerprint; /* equal for repetitions by one caller */
+	struct poison_run run;	      /* permission to send, if it is suspect */
+	struct server_check *check;   /* the check it waits for, or NULL */
 	name_id service;
 	msec arrived;
 	msec deadline; /* absolute: the caller's, or the route's timeout */
-	struct loop_timer timer;    /* fires at the deadline */
-	struct loop_timer patience; /* checks for a silent server */
-	struct link *link;	    /* of the current attempt, or NULL */
-	struct server *server;	    /* of the current attempt, or NULL */
+	struct loop_timer timer;	 /* fires at the deadline */
+	struct loop_timer silence_timer; /* checks for a silent server */
+	struct link *link;		 /* of the current attempt, or NULL */
+	struct server *server;		 /* of the current attempt, or NULL */
 	/* Name of the last attempt's server; "": none. */
 	char server_name[SERVER_NAME_SIZE];
 	struct place_request place;
@@ -261,53 +262,54 @@
 	unsigned int arrivals; /* attempts that may have reached a server */
 	unsigned int runs;     /* attempts that may have run */
 	bool may_have_run;
-	bool came_leaving; /* it arrived during this node's stop */
+	bool arrived_during_stop; /* it arrived during this node's stop */
 	/* Time allowed for it during this node's stop, in ms; else 0. */
-	msec needs;
+	msec time_needed;
 	bool repeatable;    /* may run more than once */
 	bool began_to_run;  /* a server sent a byte of an answer */
-	bool is_last;	    /* no attempt may follow the current one */
+	bool no_retry;	    /* no attempt may follow the current one */
 	enum job_code last; /* why the last attempt ended */
 	unsigned int ntried;
 	name_id tried[SERVER_AVOID_MAX];
 	/* The answer: entry-reply.c. */
 	unsigned int status;
-	bool began;	   /* the head was written to the caller */
-	bool streamed;	   /* forwarded event by event */
-	bool chunked;	   /* written in chunked transfer coding */
-	bool keeps;	   /* the head announced a kept connection */
+	bool answer_began;     /* the head was written to the caller */
+	bool streamed;	       /* forwarded event by event */
+	bool chunked;	       /* written in chunked transfer coding */
+	bool keeps_connection; /* the head announced a kept connection */
 	bool server_error; /* `held` has a server's answer with status 5xx */
-	bool refused_by_server;	    /* the current attempt did not run */
-	enum server_result refusal; /* what the refusal shows of the server */
-	msec sent_at, first_at;	    /* of the attempt; of the answer's head */
-	msec passed_at;		    /* the newest part was forwarded */
-	msec gap;	      /* longest pause between two forwarded parts */
-	struct buffer fields; /* header lines for the caller */
-	struct buffer held;   /* body bytes not forwarded yet */
-	uint64_t last_event;  /* number of the last event forwarded */
-	uint64_t events;      /* numbered events forwarded */
+	bool refused_by_server; /* the current attempt did not run */
+	enum server_result
+	    refusal_result;	/* what the refusal shows of the server */
+	msec sent_at, first_at; /* of the attempt; of the answer's head */
+	msec forwarded_at;	/* the newest part was forwarded */
+	msec gap;		/* longest pause between two forwarded parts */
+	struct buffer fields;	/* header lines for the caller */
+	struct buffer unsent_body; /* body bytes not forwarded yet */
+	uint64_t last_event;	   /* number of the last event forwarded */
+	uint64_t events;	   /* numbered events forwarded */
 };
 
 extern const struct caller_ops job_caller_ops;
 /* Called by placement with the server for a request, or NULL. */
 void job_placed(struct place *, struct place_request *, struct server *, msec);
 /* The poison id as text for logs, or NULL if it is not set yet. */
-const char *job_same(const struct job *, char[POISON_ID_SIZE]);
+const char *job_fingerprint_text(const struct job *, char[POISON_ID_SIZE]);
 /*
  * Look up the request's route and key in the configuration in force now.
  * JOB_SERVED when it is admitted, else the reason for the refusal.
  */
 enum job_code job_admit(struct job *, msec);
 /* Least time until the deadline for which an attempt is started. */
-#define JOB_LEAST_MS 20
+#define JOB_ATTEMPT_MIN_MS 20
 /* Start the first or another attempt; job_placed() follows. */
 void job_attempt(struct job *, msec);
 /* The check of a server whose connection broke has ended (entry-poison.c). */
-void job_checked(struct job *, msec);
+void job_server_checked(struct job *, msec);
 /* Timer callback: the server of the current attempt is silent. */
-void job_patience(struct loop_timer *, msec);
+void job_check_silence(struct loop_timer *, msec);
 /* End the current attempt in placement. */
-void job_leave_server(struct job *, msec, enum server_result);
+void job_release_server(struct job *, msec, enum server_result);
 /* The same, and close the attempt's connection. */
 void job_cancel(struct job *, msec, enum server_result);
 /* Answer the caller with an error, or break off the answer; then free. */
@@ -315,38 +317,38 @@
 /* Count and log the outcome, and free the request. */
 void job_free(struct job *, msec, enum job_code);
 /* End all requests in flight, at the end of a stop. */
-void job_cut_all(struct entry *, msec);
+void job_stop_all(struct entry *, msec);
 
 /* Classification of a server's answer by its head. */
-enum reply_verdict {
-	REPLY_TAKE,	/* forward it */
-	REPLY_STRAY,	/* answers another request */
-	REPLY_REJECTED, /* not executed: try another server */
-	REPLY_FAILURE,	/* executed, with status 5xx */
-	REPLY_RUBBISH	/* invalid or unsigned; it may have run */
+enum reply_class {
+	REPLY_FORWARD,	     /* forward it */
+	REPLY_OTHER_REQUEST, /* answers another request */
+	REPLY_REJECTED,	     /* not executed: try another server */
+	REPLY_SERVER_ERROR,  /* executed, with status 5xx */
+	REPLY_INVALID	     /* invalid or unsigned; it may have run */
 };
-enum reply_verdict reply_judge(const struct job *, const struct http_head *);
+enum reply_class reply_classify(const struct job *, const struct http_head *);
 /* Store the answer's status and header fields for the caller. */
-void reply_head(struct job *, const struct http_head *);
+void reply_store_head(struct job *, const struct http_head *);
 /*
  * Body bytes. False when a resumed stream skips or repeats an event, or an
  * event is too long.
  */
 bool reply_body(struct job *, const char *, size_t, msec);
 /* The server's answer is complete: write the rest of it. Returns true. */
-bool reply_whole(struct job *, msec);
+bool reply_finish(struct job *, msec);
 /* Discard what has not been forwarded, before another attempt. */
-void reply_forget(struct job *);
+void reply_discard(struct job *);
 /* Write an answer of this node; `retry_after` in ms, 0: none. */
-void
-reply_own(struct job *, msec, unsigned int status, msec retry_after, bool keep);
+void reply_write_local(
+    struct job *, msec, unsigned int status, msec retry_after, bool keep);
 
 /* ---- rate limits that servers report: entry-rate.c ---- */
 
 /* Read the rate limit from the head of an answer on a link. */
-void entry_rate_heard(struct link *, const struct http_head *, msec);
+void entry_rate_read(struct link *, const struct http_head *, msec);
 /* Placement received a server's rate limit from another node: log it. */
-void entry_rate_told(struct place *, struct server *, msec);
+void entry_rate_log_received(struct place *, struct server *, msec);
 
 /* ---- readiness and directory: entry-query.c ---- */
 
@@ -361,20 +363,23 @@
 };
 
 /* Statistics of the requests of one route. */
-struct entry_kind {
-	RB_ENTRY(entry_kind) entry;
+struct entry_route_stats {
+	RB_ENTRY(entry_route_stats) entry;
 	char route[NAME_SIZE];
 	uint64_t codes[JOB_CODES];
 	/* Times to the first byte and to the end; longest pauses; in ms. */
-	struct metrics_histogram first, whole, gap;
-	struct duration lasts; /* from arrival to the end of the answer */
-	struct duration rest;  /* streams: from the first event to the end */
+	struct metrics_histogram first, complete, gap;
+	struct duration total_time; /* from arrival to the end of the answer */
+	struct duration
+	    stream_time; /* streams: from the first event to the end */
 };
-RB_HEAD(entry_kinds, entry_kind);
-int entry_kind_compare(struct entry_kind *, struct entry_kind *);
-RB_PROTOTYPE(entry_kinds, entry_kind, entry, entry_kind_compare)
+RB_HEAD(entry_route_stats_tree, entry_route_stats);
+int entry_route_stats_compare(
+    struct entry_route_stats *, struct entry_route_stats *);
+RB_PROTOTYPE(
+    entry_route_stats_tree, entry_route_stats, entry, entry_route_stats_compare)
 /* Further routes are counted only in the totals of all routes. */
-#define ENTRY_KINDS_MAX 64
+#define ENTRY_ROUTE_STATS_MAX 64
 
 struct entry_counters {
 	uint64_t codes[JOB_CODES];
@@ -388,21 +393,22 @@
 	struct settings *settings;
 	const char *settings_file;
 	int64_t settings_stamp; /* modification time when read last */
-	msec settings_look;	/* time of the next check for changes */
+	msec settings_check_at; /* time of the next check for changes */
 	const struct wire_ops *wire;
 	struct source *source;
 	enum entry_phase phase;
 	msec started;
-	msec leaving_since; /* earliest time at which the signal arrived */
-	msec leaving_read;  /* time at which the signal was read */
+	msec leaving_since;    /* earliest time at which the signal arrived */
+	msec stop_signal_read; /* time at which the signal was read */
 	msec last_request;
 	uint64_t incarnation;
 	struct route_table *table; /* NULL: none yet */
 	struct fresh fresh;
-	struct era era;	      /* of the platform's store */
-	uint64_t era_written; /* settled era recorded in the store; 0: none */
+	struct era era;	       /* of the platform's store */
+	uint64_t era_recorded; /* settled era recorded in the store; 0: none */
 	struct entry_start start;
-	struct entry_table handed; /* being received from another node */
+	struct entry_table_transfer
+	    table_transfer; /* being received from another node */
 	struct servers servers;
 	struct place place;
 	struct entry_poison poison;
@@ -420,17 +426,18 @@
 	unsigned int ncallers;
 	struct job_list jobs;
 	unsigned int njobs;
-	struct link *link_in_hand; /* being parsed by link_take(), or NULL */
+	struct link
+	    *link_being_parsed; /* being parsed by link_parse(), or NULL */
 	struct retry_budgets budgets;
 	struct retry_budget_config budget;
 	unsigned int live_nodes; /* including this one */
 	bool source_up;
-	msec source_lost; /* since when the source does not answer */
+	msec source_lost_since; /* since when the source does not answer */
 	GRand *rand;
 	struct entry_log log;
 	struct entry_counters counters;
-	struct entry_kinds kinds;
-	unsigned int nkinds;
+	struct entry_route_stats_tree route_stats;
+	unsigned int nroute_stats;
 };
 
 /* The source read a newer configuration; takes over the reference. */
@@ -438,7 +445,7 @@
 /* A read sent at `asked` showed that the configuration is the newest. */
 void entry_take_proof(struct entry *, msec asked);
 /* A read sent at `asked` succeeded, but its result cannot be put in force. */
-void entry_take_nothing(struct entry *, enum relay_subject, msec asked);
+void entry_take_unusable(struct entry *, enum relay_subject, msec asked);
 /* A read sent at `asked` showed that the server list is the newest. */
 void entry_take_servers(struct entry *, msec asked);
 /* A read of a subject failed; entry_read_due() returns when to retry. */
@@ -452,7 +459,7 @@
 void entry_source_up(struct entry *, msec);
 
 /* Age of the process with an incarnation (its start in µs), in ms. */
-msec entry_age(uint64_t incarnation);
+msec entry_process_age(uint64_t incarnation);
 /* Does another node take work? */
 bool entry_others_ready(const struct entry *);
 /* Can this node serve callers, including those with a key? */
@@ -464,14 +471,14 @@
 void entry_state_tick(struct entry *, msec);
 void entry_state_finish(struct entry *);
 /* Set placement's timer to the next time at which it has work due. */
-void entry_place_soon(struct entry *, msec);
+void entry_place_arm_timer(struct entry *, msec);
 
 /* ---- shared reads of the platform: entry-relay.c ---- */
 
 /* Interval between reads of the list of nodes, in ms. */
-msec entry_nodes_every(const struct entry *);
+msec entry_nodes_interval(const struct entry *);
 /* Changed servers, in a message from another node. */
-void entry_relay_servers(
+void entry_relay_receive_servers(
     struct entry *, name_id from, const sp_relay_servers *, msec);
 void entry_relay_init(struct entry *, msec);
 /* Apply changed settings. */
@@ -484,13 +491,14 @@
 /* Count a request that has ended. */
 void entry_count(struct entry *, const struct job *, enum job_code, msec);
 /* Statistics of a route; NULL: no request has been counted. */
-struct entry_kind *entry_kind_find(struct entry *, const char *route);
-void entry_kinds_free(struct entry *);
+struct entry_route_stats *
+entry_route_stats_find(struct entry *, const char *route);
+void entry_route_stats_free(struct entry *);
 
 /* ---- planned stop: entry-stop.c ---- */
 
 /* Begin the stop; does nothing if it has begun already. */
-void entry_leave(struct entry *, msec);
+void entry_begin_stop(struct entry *, msec);
 /* Can an attempt that starts now end before this process? Logs if not. */
 bool entry_stop_leaves_time(struct entry *, struct job *, msec);
 void entry_stop_tick(struct entry *, msec);
@@ -508,6 +516,6 @@
 
 /* Reload at once, or only if the file's modification time has changed. */
 void entry_settings_read(struct entry *, msec);
-void entry_settings_look(struct entry *, msec);
+void entry_settings_check(struct entry *, msec);
 
 #endif /* ENTRY_H */
