--- a/entry-attempt.c
+++ b/entry-attempt.c
@@ -9,12 +9,11 @@
 
 #include <string.h>
 
-/* Sends beyond the route's attempts, for servers that answer "not executed". */
+/* Attempts beyond the route's, for servers that answer "not executed". */
 #define JOB_EXTRA_ATTEMPTS 1
 /* Percentage of the route's target after which a silent server is checked. */
 #define JOB_SILENCE_CHECK_PERCENT 80
-/* Interval between further checks, and least silence of a server taken as dead.
- */
+/* Interval between further checks, and least silence of a dead server. */
 #define JOB_SILENCE_RECHECK_MS 250
 #define JOB_SERVER_DEAD_MS 1000
 /* Most that running streams slow down the reading of a prompt, as a factor. */
@@ -295,7 +294,10 @@
 	return j->deadline - now >= JOB_ATTEMPT_MIN_MS;
 }
 
-/* Is another attempt allowed? Takes it from the retry budget. */
+/*
+ * Is another attempt allowed? It counts against the retry budget if an earlier
+ * one may have reached a server.
+ */
 static bool
 job_take_retry(struct job *j, msec now, enum job_code why)
 {
--- a/entry-caller.c
+++ b/entry-caller.c
@@ -459,8 +459,7 @@
 		loop_timer_set(&e->loop, &c->timer, now + CALLER_UNACKED_MS);
 	}
 	caller_flush(c);
-	/* Pipelined requests are handled on the next turn, without recursion.
-	 */
+	/* Handle pipelined requests on the next turn, without recursion. */
 	if (!c->closing && buffer_left(&c->in) > 0)
 		loop_timer_set(&e->loop, &c->timer, now);
 }
--- a/entry-job.c
+++ b/entry-job.c
@@ -196,8 +196,7 @@
 		after = JOB_RETRY_SOON_MS;
 	else if (code == JOB_NOT_FRESH)
 		after = JOB_RETRY_UNAVAILABLE_MS;
-	/* Randomised, so that callers refused together do not all retry at
-	 * once. */
+	/* Spread retries of callers that were refused at the same time. */
 	return after + g_rand_int_range(j->owner->rand, 0, (gint32)after);
 }
 
--- a/entry.h
+++ b/entry.h
@@ -273,14 +273,13 @@
 	name_id tried[SERVER_AVOID_MAX];
 	/* The answer: entry-reply.c. */
 	unsigned int status;
-	bool answer_began;     /* the head was written to the caller */
-	bool streamed;	       /* forwarded event by event */
-	bool chunked;	       /* written in chunked transfer coding */
-	bool keeps_connection; /* the head announced a kept connection */
-	bool server_error; /* `held` has a server's answer with status 5xx */
+	bool answer_began;	/* the head was written to the caller */
+	bool streamed;		/* forwarded event by event */
+	bool chunked;		/* written in chunked transfer coding */
+	bool keeps_connection;	/* the head announced a kept connection */
+	bool server_error;	/* the server's answer has status 5xx */
 	bool refused_by_server; /* the current attempt did not run */
-	enum server_result
-	    refusal_result;	/* what the refusal shows of the server */
+	enum server_result refusal_result; /* how to count the refusal */
 	msec sent_at, first_at; /* of the attempt; of the answer's head */
 	msec forwarded_at;	/* the newest part was forwarded */
 	msec gap;		/* longest pause between two forwarded parts */
@@ -407,8 +406,7 @@
 	struct era era;	       /* of the platform's store */
 	uint64_t era_recorded; /* settled era recorded in the store; 0: none */
 	struct entry_start start;
-	struct entry_table_transfer
-	    table_transfer; /* being received from another node */
+	struct entry_table_transfer table_transfer;
 	struct servers servers;
 	struct place place;
 	struct entry_poison poison;
