--- a/entry-attempt.c
+++ b/entry-attempt.c
@@ -442,7 +442,7 @@
 		return;
 	j->began_to_run = true;
 	if (j->organisation != NULL)
-		entry_duty_began(j->owner, j->organisation->name, now);
+		entry_duty_count_request(j->owner, j->organisation->name, now);
 }
 
 static void
@@ -547,10 +547,10 @@
 	poison_end(&j->owner->poison.core, now, &j->run, how == LINK_BROKEN);
 	job_release_server(j, now, attempt_server_result(k, how, now));
 	if (k->connect_refused)
-		entry_poison_refused(k->owner, k->server, now);
+		entry_poison_connection_refused(k->owner, k->server, now);
 	if (how == LINK_BROKEN) {
 		job_count_run(j);
-		if (!entry_poison_broke(
+		if (!entry_poison_connection_broke(
 			j, k->server, job_can_retry(j, now), now))
 			job_retry_or_fail(j, now, JOB_BROKEN);
 		return;
--- a/entry-duty.c
+++ b/entry-duty.c
@@ -11,32 +11,32 @@
 
 #define DUTY_TIMER_MS 100
 /* Interval at which coordinators report demand to the holder. */
-#define DUTY_DEMAND_MS 1000
+#define DUTY_DEMAND_INTERVAL_MS 1000
 /*
  * A window is final once all processes have reported their counts, but not
  * before the first time after its end, and at the latest after the second:
  * counts missing by then belong to nodes that are gone.
  */
-#define DUTY_DECIDE_LEAST_MS 400
-#define DUTY_DECIDE_MOST_MS 3000
+#define DUTY_FINALIZE_MIN_MS 400
+#define DUTY_FINALIZE_MAX_MS 3000
 /* Delay before a failed report is retried. */
 #define DUTY_REPORT_RETRY_MS 700
 /*
  * Notes up to this size go with every renewal; larger ones with fewer renewals,
  * in proportion to their size.
  */
-#define DUTY_NOTES_BYTES 8192
+#define DUTY_NOTES_BYTES_PER_RENEWAL 8192
 /* Longest time a leaving node waits for its pending calls. */
-#define DUTY_LEAVE_MS 1000
+#define DUTY_LEAVE_MAX_MS 1000
 
 /* A usage window with final counts. */
 struct duty_window {
 	bool used;
 	uint64_t number;
 	json_t *counts;
-	bool saved;   /* in the log: all holders report these counts */
-	bool done;    /* reported, or past the deadline for reports */
-	bool carried; /* included in the pending append */
+	bool saved; /* in the log: all holders report these counts */
+	bool done;  /* reported, or past the deadline for reports */
+	bool in_pending_append; /* included in the pending append */
 };
 
 struct entry_duty {
@@ -44,16 +44,17 @@
 	struct usage usage;
 	struct capacity capacity;
 	struct loop_timer timer;
-	bool read_back;	 /* the previous holder's notes have been read */
-	json_t *kept;	 /* servers needed, while reclaiming in a new era */
-	bool looking;	 /* a lookup is pending */
-	bool core_looks; /* duty.c waits for the lookup */
-	struct duty_window *windows; /* usage.nwindows of them */
-	bool reporting;
-	uint64_t reported; /* window of the pending report */
-	msec next_report, next_demand, next_nodes;
-	unsigned int notes_turn; /* renewals until notes go along */
-	unsigned int orders;	 /* pending */
+	bool notes_loaded; /* the previous holder's notes have been read */
+	json_t *needed_before_rewind; /* servers needed, while reclaiming in a
+					 new era */
+	bool lookup_pending;	      /* a lookup is pending */
+	bool core_waits_for_lookup;   /* duty.c waits for the lookup */
+	struct duty_window *windows;  /* usage.nwindows of them */
+	bool report_pending;
+	uint64_t report_window; /* window of the pending report */
+	msec next_report, next_demand, next_node_update;
+	unsigned int renewals_until_notes; /* renewals until notes go along */
+	unsigned int orders_pending;	   /* pending */
 	msec leaving_since;
 	struct usage_process *processes;
 	unsigned int nprocesses;
@@ -71,13 +72,13 @@
 /* ---- windows with final counts ---- */
 
 static struct duty_window *
-window_at(struct entry_duty *x, uint64_t number)
+window_slot(struct entry_duty *x, uint64_t number)
 {
 	return &x->windows[number % x->usage.nwindows];
 }
 
 static void
-window_drop(struct duty_window *w)
+window_clear(struct duty_window *w)
 {
 	if (w->counts != NULL)
 		json_decref(w->counts);
@@ -85,28 +86,28 @@
 }
 
 static void
-window_put(struct entry_duty *x, uint64_t number, json_t *counts, bool saved,
+window_set(struct entry_duty *x, uint64_t number, json_t *counts, bool saved,
     bool done)
 {
-	struct duty_window *w = window_at(x, number);
+	struct duty_window *w = window_slot(x, number);
 
-	window_drop(w);
+	window_clear(w);
 	*w = (struct duty_window){ true, number, counts, saved, done, false };
 	usage_decided(&x->usage, number);
 }
 
 static void
-windows_drop(struct entry_duty *x)
+windows_clear(struct entry_duty *x)
 {
 	unsigned int i;
 
 	for (i = 0; i < x->usage.nwindows; i++)
-		window_drop(&x->windows[i]);
+		window_clear(&x->windows[i]);
 }
 
 /* Returns the time left until the deadline for reports of the window, in ms. */
 static msec
-window_left(const struct entry *e, uint64_t number, msec now)
+window_time_left(const struct entry *e, uint64_t number, msec now)
 {
 	const struct entry_duty *x = e->duty;
 
@@ -119,7 +120,7 @@
  * the configuration no longer contains are dropped.
  */
 static json_t *
-counts_named(struct entry *e, GHashTable *sum)
+counts_by_name(struct entry *e, GHashTable *sum)
 {
 	const struct route_table *t = e->table;
 	json_t *counts = json_object();
@@ -140,7 +141,7 @@
 window_counts(struct entry *e, uint64_t number)
 {
 	GHashTable *sum = usage_sum(&e->duty->usage, number);
-	json_t *counts = counts_named(e, sum);
+	json_t *counts = counts_by_name(e, sum);
 
 	g_hash_table_unref(sum);
 	return counts;
@@ -159,9 +160,9 @@
 	uint64_t n;
 
 	for (n = current - x->usage.nwindows + 2; n <= current; n++) {
-		w = window_at(x, n);
+		w = window_slot(x, n);
 		if (w->used && w->number == n) {
-			w->carried = true;
+			w->in_pending_append = true;
 			json_array_append_new(
 			    list, json_pack("{s:I,s:b,s:b,s:O}", "window",
 				      (json_int_t)n, "decided", 1, "done",
@@ -216,7 +217,7 @@
 	if (!json_is_object(counts) || number == 0 || x->usage.window == 0)
 		return;
 	if (json_is_true(json_object_get(o, "decided"))) {
-		window_put(x, number, json_incref(counts), true,
+		window_set(x, number, json_incref(counts), true,
 		    json_is_true(json_object_get(o, "done")));
 		return;
 	}
@@ -248,7 +249,7 @@
  * marked as done; the notes pass this on to later holders.
  */
 static void
-windows_skip_lost(struct entry *e, msec now)
+windows_skip_unrecorded(struct entry *e, msec now)
 {
 	struct entry_duty *x = e->duty;
 	msec wall = usage_true(&x->usage, now);
@@ -258,10 +259,10 @@
 	const struct duty_window *w;
 
 	for (n = current - x->usage.nwindows + 2; n < begun; n++) {
-		w = window_at(x, n);
+		w = window_slot(x, n);
 		if (w->used && w->number == n)
 			continue;
-		window_put(x, n, json_object(), false, true);
+		window_set(x, n, json_object(), false, true);
 		x->skipped++;
 	}
 }
@@ -280,7 +281,7 @@
 		notes_read_window(e, o, at);
 	notes_read_capacity(&x->capacity, json_object_get(top, "servers"));
 	if (era != e->era.number && x->usage.window > 0)
-		windows_skip_lost(e, now);
+		windows_skip_unrecorded(e, now);
 	json_decref(top);
 }
 
@@ -294,10 +295,10 @@
 	char *notes = NULL;
 	size_t every;
 
-	if (!claim && x->read_back && x->notes_turn-- == 0) {
+	if (!claim && x->notes_loaded && x->renewals_until_notes-- == 0) {
 		notes = notes_write(e, msec_now());
-		every = strlen(notes) / DUTY_NOTES_BYTES;
-		x->notes_turn = (unsigned int)every;
+		every = strlen(notes) / DUTY_NOTES_BYTES_PER_RENEWAL;
+		x->renewals_until_notes = (unsigned int)every;
 	}
 	e->source->ops->duty_append(e->source, at, claim, notes);
 	free(notes);
@@ -308,9 +309,9 @@
 {
 	struct entry_duty *x = e->duty;
 
-	if (x->looking)
+	if (x->lookup_pending)
 		return;
-	x->looking = true;
+	x->lookup_pending = true;
 	e->source->ops->duty_look(e->source);
 }
 
@@ -319,12 +320,12 @@
 {
 	struct entry *e = entry_of(d);
 
-	e->duty->core_looks = true;
+	e->duty->core_waits_for_lookup = true;
 	duty_look(e);
 }
 
 static void
-duty_to_node(struct entry *e, name_id node, const sp_msg *msg)
+duty_send_to_node(struct entry *e, name_id node, const sp_msg *msg)
 {
 	struct member *m = members_find(&e->members, node);
 
@@ -335,7 +336,7 @@
 static void
 duty_op_send(struct duty *d, name_id node, const sp_msg *msg)
 {
-	duty_to_node(entry_of(d), node, msg);
+	duty_send_to_node(entry_of(d), node, msg);
 }
 
 /*
@@ -343,10 +344,10 @@
  * change it.
  */
 static void
-duty_drop(struct entry_duty *x, msec now)
+duty_discard_state(struct entry_duty *x, msec now)
 {
-	g_clear_pointer(&x->kept, json_decref);
-	windows_drop(x);
+	g_clear_pointer(&x->needed_before_rewind, json_decref);
+	windows_clear(x);
 	capacity_set_holder(&x->capacity, now, false);
 }
 
@@ -356,29 +357,29 @@
  * servers needed is kept for the claim in the new era.
  */
 static void
-duty_keep(struct entry *e, msec now)
+duty_keep_needed(struct entry *e, msec now)
 {
 	struct entry_duty *x = e->duty;
 	unsigned int i;
 
-	g_clear_pointer(&x->kept, json_decref);
-	x->kept = notes_capacity(&x->capacity);
+	g_clear_pointer(&x->needed_before_rewind, json_decref);
+	x->needed_before_rewind = notes_capacity(&x->capacity);
 	capacity_set_holder(&x->capacity, now, false);
 	/* The records of these windows may be lost with the old era. */
 	for (i = 0; i < x->usage.nwindows; i++)
-		x->windows[i].saved = x->windows[i].carried = false;
+		x->windows[i].saved = x->windows[i].in_pending_append = false;
 }
 
 /* The claim in the new era succeeded: continues with the state kept. */
 static void
-duty_hold_on(struct entry *e, msec now)
+duty_resume(struct entry *e, msec now)
 {
 	struct entry_duty *x = e->duty;
 
-	x->read_back = true;
+	x->notes_loaded = true;
 	capacity_set_holder(&x->capacity, now, e->settings->order_servers);
-	notes_read_capacity(&x->capacity, x->kept);
-	g_clear_pointer(&x->kept, json_decref);
+	notes_read_capacity(&x->capacity, x->needed_before_rewind);
+	g_clear_pointer(&x->needed_before_rewind, json_decref);
 	duty_renew_now(&x->duty, now);
 }
 
@@ -388,14 +389,14 @@
 	struct entry *e = entry_of(d);
 	struct entry_duty *x = e->duty;
 
-	x->read_back = false;
-	x->notes_turn = 0;
-	if (holds && d->continues && x->kept != NULL)
-		duty_hold_on(e, now);
+	x->notes_loaded = false;
+	x->renewals_until_notes = 0;
+	if (holds && d->continues && x->needed_before_rewind != NULL)
+		duty_resume(e, now);
 	else if (!holds && duty_reclaims(d, now))
-		duty_keep(e, now);
+		duty_keep_needed(e, now);
 	else
-		duty_drop(x, now);
+		duty_discard_state(x, now);
 	entry_log(&e->log, now, ENTRY_LOG_NEEDED, LOG_EVENT_DUTY,
 	    LOG_TEXT(LOG_KEY_STATE, holds ? "held" : "not held"),
 	    LOG_NUMBER(LOG_KEY_TOKEN, d->token),
@@ -413,7 +414,7 @@
 	if (node == e->members.self.id)
 		usage_receive(u, e->loop.now, node, e->incarnation, msg);
 	else
-		duty_to_node(e, node, msg);
+		duty_send_to_node(e, node, msg);
 }
 
 static const struct usage_ops entry_usage_ops = { usage_op_send };
@@ -431,9 +432,10 @@
 	g_strlcpy(order.service, s->config.name, sizeof order.service);
 	g_strlcpy(
 	    order.domain, s->config.domains[domain].name, sizeof order.domain);
-	x->orders++;
+	x->orders_pending++;
 	if (!e->source->ops->order_servers(e->source, &order)) {
-		entry_duty_ordered(e, &order, DUTY_CALL_FAILED, e->loop.now);
+		entry_duty_servers_ordered(
+		    e, &order, DUTY_CALL_FAILED, e->loop.now);
 		return;
 	}
 	entry_log(&e->log, e->loop.now, ENTRY_LOG_NEEDED, LOG_EVENT_ORDER,
@@ -462,52 +464,53 @@
 	for (i = 0; i < x->usage.nwindows; i++) {
 		x->windows[i].saved =
 		    x->windows[i].saved ||
-		    (x->windows[i].carried && how == DUTY_TAKEN);
-		x->windows[i].carried = false;
+		    (x->windows[i].in_pending_append && how == DUTY_TAKEN);
+		x->windows[i].in_pending_append = false;
 	}
 	duty_appended(&x->duty, now, how, at, end);
 }
 
 void
-entry_duty_looked(struct entry *e, bool ok, uint64_t claim, uint64_t end,
+entry_duty_claim_found(struct entry *e, bool ok, uint64_t claim, uint64_t end,
     const char *notes, msec now)
 {
 	struct entry_duty *x = e->duty;
-	bool core = x->core_looks;
+	bool core = x->core_waits_for_lookup;
 
-	x->looking = x->core_looks = false;
+	x->lookup_pending = x->core_waits_for_lookup = false;
 	if (core)
 		duty_looked(&x->duty, now, ok, claim, end);
 	/* The newest claim may be another node's. */
-	if (!ok || x->read_back || !duty_is_claim(&x->duty, claim))
+	if (!ok || x->notes_loaded || !duty_is_claim(&x->duty, claim))
 		return;
-	x->read_back = true;
+	x->notes_loaded = true;
 	capacity_set_holder(&x->capacity, now, e->settings->order_servers);
 	notes_read(e, notes, now);
 }
 
 void
-entry_duty_reported(struct entry *e, enum duty_call_result how, msec now)
+entry_duty_usage_reported(struct entry *e, enum duty_call_result how, msec now)
 {
 	struct entry_duty *x = e->duty;
-	struct duty_window *w = window_at(x, x->reported);
+	struct duty_window *w = window_slot(x, x->report_window);
 
-	x->reporting = false;
+	x->report_pending = false;
 	x->next_report =
 	    now + (how == DUTY_CALL_DONE ? 0 : DUTY_REPORT_RETRY_MS);
 	entry_log(&e->log, now, ENTRY_LOG_NEEDED, LOG_EVENT_USAGE,
-	    LOG_NUMBER(LOG_KEY_WINDOW, x->reported),
+	    LOG_NUMBER(LOG_KEY_WINDOW, x->report_window),
 	    LOG_TEXT(LOG_KEY_OUTCOME, how == DUTY_CALL_DONE	? "taken"
 				      : how == DUTY_CALL_FENCED ? "fenced"
 								: "no answer"),
-	    LOG_NUMBER(LOG_KEY_LEFT_MS, window_left(e, x->reported, now)),
+	    LOG_NUMBER(
+		LOG_KEY_LEFT_MS, window_time_left(e, x->report_window, now)),
 	    LOG_NUMBER(LOG_KEY_TOKEN, x->duty.token));
 	if (how == DUTY_CALL_FENCED) {
 		x->fenced++;
 		duty_refused(&x->duty, now);
 		return;
 	}
-	if (!w->used || w->number != x->reported)
+	if (!w->used || w->number != x->report_window)
 		return;
 	if (how == DUTY_CALL_DONE) {
 		x->reports++;
@@ -518,28 +521,28 @@
 }
 
 void
-entry_duty_ordered(struct entry *e, const struct server_order *o,
+entry_duty_servers_ordered(struct entry *e, const struct server_order *o,
     enum duty_call_result how, msec now)
 {
 	static const enum capacity_result results[] = {
 		[DUTY_CALL_DONE] = CAPACITY_ACCEPTED,
 		[DUTY_CALL_FENCED] = CAPACITY_NO_ANSWER,
-		[DUTY_CALL_NONE] = CAPACITY_UNAVAILABLE,
+		[DUTY_CALL_NONE_LEFT] = CAPACITY_UNAVAILABLE,
 		[DUTY_CALL_FAILED] = CAPACITY_NO_ANSWER,
 	};
 	struct entry_duty *x = e->duty;
 
-	x->orders--;
+	x->orders_pending--;
 	x->orders_taken += how == DUTY_CALL_DONE;
-	x->orders_none += how == DUTY_CALL_NONE;
+	x->orders_none += how == DUTY_CALL_NONE_LEFT;
 	x->orders_failed += how == DUTY_CALL_FAILED;
 	if (how != DUTY_CALL_DONE)
 		entry_log(&e->log, now, ENTRY_LOG_NEEDED,
 		    LOG_EVENT_ORDER_FAILED, LOG_TEXT(LOG_KEY_DOMAIN, o->domain),
-		    LOG_TEXT(LOG_KEY_REASON, how == DUTY_CALL_NONE ? "none left"
-					     : how == DUTY_CALL_FENCED
-						 ? "fenced"
-						 : "no answer"),
+		    LOG_TEXT(LOG_KEY_REASON,
+			how == DUTY_CALL_NONE_LEFT ? "none left"
+			: how == DUTY_CALL_FENCED  ? "fenced"
+						   : "no answer"),
 		    LOG_NUMBER(LOG_KEY_COUNT, o->count));
 	capacity_ordered(&x->capacity, now, name_hash(o->service),
 	    o->domain_index, o->kind, o->count, results[how]);
@@ -563,7 +566,7 @@
 }
 
 void
-entry_duty_rewound(struct entry *e, msec now)
+entry_duty_log_rewound(struct entry *e, msec now)
 {
 	if (e->duty != NULL)
 		duty_rewound(&e->duty->duty, now, e->era.number);
@@ -572,7 +575,7 @@
 /* ---- messages from other nodes, counting, configuration ---- */
 
 void
-entry_duty_began(struct entry *e, const char *organisation, msec now)
+entry_duty_count_request(struct entry *e, const char *organisation, msec now)
 {
 	if (e->duty != NULL && organisation != NULL &&
 	    e->duty->usage.window > 0)
@@ -675,7 +678,7 @@
 }
 
 static void
-duty_tell_demand(struct entry *e, msec now)
+duty_send_demand(struct entry *e, msec now)
 {
 	struct entry_duty *x = e->duty;
 	sp_msg msg = { .kind = SP_DEMAND };
@@ -684,7 +687,7 @@
 
 	if (now < x->next_demand || x->duty.holder == 0)
 		return;
-	x->next_demand = now + DUTY_DEMAND_MS;
+	x->next_demand = now + DUTY_DEMAND_INTERVAL_MS;
 	RB_FOREACH (m, place_mixes, &e->place.all) {
 		if (m->requests == 0)
 			continue;
@@ -697,12 +700,12 @@
 			capacity_receive(
 			    &x->capacity, now, e->members.self.id, &msg);
 		else
-			duty_to_node(e, x->duty.holder, &msg);
+			duty_send_to_node(e, x->duty.holder, &msg);
 	}
 }
 
 static void
-duty_decide_usage(struct entry *e, msec now)
+duty_finalize_window(struct entry *e, msec now)
 {
 	struct entry_duty *x = e->duty;
 	uint64_t number;
@@ -712,21 +715,21 @@
 	if (!usage_ended(&x->usage, now, x->processes, x->nprocesses, &number,
 		&ago, &complete))
 		return;
-	if (ago < DUTY_DECIDE_LEAST_MS ||
-	    (!complete && ago < DUTY_DECIDE_MOST_MS))
+	if (ago < DUTY_FINALIZE_MIN_MS ||
+	    (!complete && ago < DUTY_FINALIZE_MAX_MS))
 		return;
-	if (window_left(e, number, now) <= 0) {
+	if (window_time_left(e, number, now) <= 0) {
 		x->missed++;
 		usage_decided(&x->usage, number);
 		return;
 	}
-	window_put(x, number, window_counts(e, number), false, false);
-	x->notes_turn = 0;
+	window_set(x, number, window_counts(e, number), false, false);
+	x->renewals_until_notes = 0;
 	duty_renew_now(&x->duty, now);
 }
 
 static void
-duty_report_usage(struct entry *e, msec now)
+duty_report_window(struct entry *e, msec now)
 {
 	struct entry_duty *x = e->duty;
 	struct duty_window *w, *oldest = NULL;
@@ -736,7 +739,7 @@
 		w = &x->windows[i];
 		if (!w->used || w->done)
 			continue;
-		if (window_left(e, w->number, now) <= 0) {
+		if (window_time_left(e, w->number, now) <= 0) {
 			w->done = true;
 			x->missed++;
 			continue;
@@ -744,10 +747,10 @@
 		if (w->saved && (oldest == NULL || w->number < oldest->number))
 			oldest = w;
 	}
-	if (oldest == NULL || x->reporting || now < x->next_report)
+	if (oldest == NULL || x->report_pending || now < x->next_report)
 		return;
-	x->reporting = true;
-	x->reported = oldest->number;
+	x->report_pending = true;
+	x->report_window = oldest->number;
 	e->source->ops->report_usage(e->source, oldest->number, oldest->counts);
 }
 
@@ -780,24 +783,24 @@
 	loop_timer_set(&e->loop, t, now + DUTY_TIMER_MS);
 	if (e->phase == ENTRY_STARTING)
 		return;
-	if (now >= x->next_nodes) {
-		x->next_nodes = now + 5 * DUTY_TIMER_MS;
+	if (now >= x->next_node_update) {
+		x->next_node_update = now + 5 * DUTY_TIMER_MS;
 		duty_push_nodes(e);
 	}
 	duty_tick(&x->duty, now);
 	duty_push_keepers(e);
 	if (x->usage.window > 0)
 		usage_tick(&x->usage, now, msec_wall());
-	duty_tell_demand(e, now);
+	duty_send_demand(e, now);
 	if (duty_token(&x->duty, now) == 0)
 		return;
-	if (!x->read_back) {
+	if (!x->notes_loaded) {
 		duty_look(e);
 		return;
 	}
 	if (x->usage.window > 0) {
-		duty_decide_usage(e, now);
-		duty_report_usage(e, now);
+		duty_finalize_window(e, now);
+		duty_report_window(e, now);
 	}
 	duty_order_servers(e, now);
 }
@@ -811,8 +814,8 @@
 		return true;
 	if (x->leaving_since == 0)
 		x->leaving_since = now;
-	if ((x->reporting || x->orders > 0 || x->duty.pending) &&
-	    now - x->leaving_since < DUTY_LEAVE_MS)
+	if ((x->report_pending || x->orders_pending > 0 || x->duty.pending) &&
+	    now - x->leaving_since < DUTY_LEAVE_MAX_MS)
 		return false;
 	duty_leave(&x->duty, now);
 	return true;
@@ -849,8 +852,8 @@
 	if (x == NULL)
 		return;
 	loop_timer_stop(&e->loop, &x->timer);
-	g_clear_pointer(&x->kept, json_decref);
-	windows_drop(x);
+	g_clear_pointer(&x->needed_before_rewind, json_decref);
+	windows_clear(x);
 	duty_finish(&x->duty);
 	usage_finish(&x->usage);
 	g_free(x->windows);
@@ -936,7 +939,7 @@
 	    x->duty.token, x->duty.token != 0 ? x->duty.until - now : 0,
 	    x->duty.token_seen, x->duty.end,
 	    x->duty.standbys[0] == e->members.self.id ? "yes" : "no",
-	    x->read_back ? "yes" : "no");
+	    x->notes_loaded ? "yes" : "no");
 	for (i = 0; i < x->usage.nwindows; i++) {
 		if (x->windows[i].used)
 			g_string_append_printf(s,
--- a/entry-duty.h
+++ b/entry-duty.h
@@ -28,7 +28,7 @@
  * Counts a request of an organisation that a server has begun to run; ignored
  * if the organisation is NULL.
  */
-void entry_duty_began(struct entry *, const char *organisation, msec);
+void entry_duty_count_request(struct entry *, const char *organisation, msec);
 /* Handles a message of kind SP_DUTY_BEAT, SP_USAGE_* or SP_DEMAND. */
 void entry_duty_receive(
     struct entry *, name_id from, uint64_t incarnation, const sp_msg *, msec);
@@ -55,17 +55,17 @@
  * offset of the log and the newest notes ("" if there are none); `ok` is false
  * if the log did not answer.
  */
-void entry_duty_looked(struct entry *, bool ok, uint64_t claim, uint64_t end,
-    const char *notes, msec);
+void entry_duty_claim_found(struct entry *, bool ok, uint64_t claim,
+    uint64_t end, const char *notes, msec);
 /* The result of a call to the platform. */
 enum duty_call_result {
 	DUTY_CALL_DONE,
-	DUTY_CALL_FENCED, /* the platform has seen a greater token */
-	DUTY_CALL_NONE,	  /* no servers of the ordered kind are left */
-	DUTY_CALL_FAILED  /* the call failed or its result is unknown */
+	DUTY_CALL_FENCED,    /* the platform has seen a greater token */
+	DUTY_CALL_NONE_LEFT, /* no servers of the ordered kind are left */
+	DUTY_CALL_FAILED     /* the call failed or its result is unknown */
 };
-void entry_duty_reported(struct entry *, enum duty_call_result, msec);
-void entry_duty_ordered(
+void entry_duty_usage_reported(struct entry *, enum duty_call_result, msec);
+void entry_duty_servers_ordered(
     struct entry *, const struct server_order *, enum duty_call_result, msec);
 
 /*
@@ -73,7 +73,7 @@
  * older copy and has a new era.
  */
 void entry_duty_set_era(struct entry *);
-void entry_duty_rewound(struct entry *, msec);
+void entry_duty_log_rewound(struct entry *, msec);
 
 void entry_duty_metrics(const struct entry *, GString *);
 void entry_duty_dump(const struct entry *, GString *, msec);
--- a/entry-era.c
+++ b/entry-era.c
@@ -10,12 +10,12 @@
 /*
  * Time for all nodes to read what was written again after the store's return.
  */
-#define ERA_READ_MS 1000
+#define ERA_READ_DELAY_MS 1000
 /*
  * Greatest age of a restored copy: it may list servers that went away within
  * this time.
  */
-#define ERA_COPY_MS 20000
+#define ERA_COPY_AGE_MAX_MS 20000
 
 static void
 entry_era_log(struct entry *e, msec now, const char *state)
@@ -29,11 +29,11 @@
 }
 
 static void
-entry_era_begun(struct entry *e, msec now)
+entry_era_first_seen(struct entry *e, msec now)
 {
 	if (e->era.number == 0)
 		return;
-	servers_set_retention(&e->servers, ERA_COPY_MS);
+	servers_set_retention(&e->servers, ERA_COPY_AGE_MAX_MS);
 	entry_duty_set_era(e);
 }
 
@@ -44,21 +44,21 @@
  * servers that are known to be gone are not taken back from the older list.
  */
 static void
-entry_era_rose(struct entry *e, msec now)
+entry_era_changed(struct entry *e, msec now)
 {
-	msec until = now + e->settings->rewrite + ERA_READ_MS;
+	msec until = now + e->settings->rewrite + ERA_READ_DELAY_MS;
 
-	servers_set_retention(&e->servers, ERA_COPY_MS);
+	servers_set_retention(&e->servers, ERA_COPY_AGE_MAX_MS);
 	servers_keep_unlisted(&e->servers, until);
 	servers_keep_gone(&e->servers, until);
 	relay_drop_confirmations(&e->relay);
-	entry_duty_rewound(e, now);
+	entry_duty_log_rewound(e, now);
 	e->source->ops->rewound(e->source);
 	entry_era_log(e, now, "changed");
 }
 
 enum era_verdict
-entry_take_era(struct entry *e, uint64_t number, msec now)
+entry_era_observe(struct entry *e, uint64_t number, msec now)
 {
 	bool first = !e->era.heard;
 	enum era_verdict verdict = era_heard(&e->era, now, number);
@@ -66,13 +66,13 @@
 	switch (verdict) {
 	case ERA_SAME:
 		if (first)
-			entry_era_begun(e, now);
+			entry_era_first_seen(e, now);
 		break;
 	case ERA_ROSE:
-		entry_era_rose(e, now);
+		entry_era_changed(e, now);
 		break;
 	case ERA_OLD:
-		entry_log(&e->log, now, ENTRY_LOG_USUAL, LOG_EVENT_ERA,
+		entry_log(&e->log, now, ENTRY_LOG_ROUTINE, LOG_EVENT_ERA,
 		    LOG_TEXT(LOG_KEY_STATE, number == 0 ? "not named" : "over"),
 		    LOG_NUMBER(LOG_KEY_ERA, number));
 		break;
@@ -85,27 +85,27 @@
  * about the era from other nodes treats it as settled and accepts keys at once.
  */
 static bool
-entry_era_is_believed(const struct entry *e)
+entry_era_assumed_settled(const struct entry *e)
 {
 	return e->start.unanswered && !e->settings->keys_fail_closed &&
 	       e->era.counters.changes == 0;
 }
 
 bool
-entry_era_proves(const struct entry *e, msec asked)
+entry_era_proves_newest(const struct entry *e, msec read_sent_at)
 {
 	uint64_t newest =
 	    MAX(members_newest_version(&e->members), e->start.version);
 
 	if (e->era.number == 0)
 		return true;
-	return (era_settled(&e->era, asked, e->settings->rewrite) ||
-		   entry_era_is_believed(e)) &&
+	return (era_settled(&e->era, read_sent_at, e->settings->rewrite) ||
+		   entry_era_assumed_settled(e)) &&
 	       e->table->version >= newest;
 }
 
 void
-entry_era_vouched(struct entry *e, uint64_t number, msec now)
+entry_era_settled_recorded(struct entry *e, uint64_t number, msec now)
 {
 	if (number != e->era.number || entry_era_settled(e, now) != 0)
 		return;
--- a/entry-era.h
+++ b/entry-era.h
@@ -17,18 +17,18 @@
  * has none or it is unreadable. If the era is greater than the one known, the
  * source's rewound() operation is called, which reads everything again.
  */
-enum era_verdict entry_take_era(struct entry *, uint64_t number, msec);
+enum era_verdict entry_era_observe(struct entry *, uint64_t number, msec);
 /*
  * Returns true if a read sent at time `asked` that found no newer configuration
  * proves that the one in force is the newest.
  */
-bool entry_era_proves(const struct entry *, msec asked);
+bool entry_era_proves_newest(const struct entry *, msec read_sent_at);
 /*
  * Called by the source when its store contains a record that this era has
  * settled: all that was lost with the previous era had time to be written
  * again.
  */
-void entry_era_vouched(struct entry *, uint64_t number, msec);
+void entry_era_settled_recorded(struct entry *, uint64_t number, msec);
 /* Returns the era if it is known to have settled, otherwise 0. */
 uint64_t entry_era_settled(const struct entry *, msec);
 /* Makes the source write the record once an era has settled. */
--- a/entry-job.c
+++ b/entry-job.c
@@ -65,8 +65,8 @@
 job_log(struct job *j, msec now, enum job_code code)
 {
 	struct entry *e = j->owner;
-	enum entry_log_weight weight =
-	    code == JOB_SERVED ? ENTRY_LOG_USUAL : ENTRY_LOG_NEEDED;
+	enum entry_log_priority weight =
+	    code == JOB_SERVED ? ENTRY_LOG_ROUTINE : ENTRY_LOG_NEEDED;
 	const char *route = j->route != NULL ? j->route->name : NULL;
 	const char *organisation =
 	    j->organisation != NULL ? j->organisation->name : NULL;
@@ -119,7 +119,7 @@
 	j->link = NULL;
 	j->check = NULL;
 	if (k != NULL && k->sent)
-		entry_poison_left(j, k->server, now);
+		entry_poison_request_abandoned(j, k->server, now);
 	if (k != NULL)
 		link_cancel(k);
 	job_release_server(j, now, how);
--- a/entry-link.c
+++ b/entry-link.c
@@ -139,7 +139,7 @@
 	if (connect(fd, (struct sockaddr *)&sin, sizeof sin) == -1 &&
 	    errno != EINPROGRESS) {
 		if (errno == ECONNREFUSED)
-			entry_poison_refused(e, v, now);
+			entry_poison_connection_refused(e, v, now);
 		close(fd);
 		return NULL;
 	}
--- a/entry-log.c
+++ b/entry-log.c
@@ -16,10 +16,10 @@
  * Routine lines are a sample of normal operation; the limit of needed lines
  * leaves room for a second with many failures.
  */
-#define ENTRY_LOG_USUAL_PER_S 40
+#define ENTRY_LOG_ROUTINE_PER_S 40
 #define ENTRY_LOG_NEEDED_PER_S 400
 
-const struct entry_log_word entry_log_events[LOG_EVENTS] = {
+const struct entry_log_description entry_log_events[LOG_EVENTS] = {
 	[LOG_EVENT_ATTEMPT_FAILED] = { "attempt-failed",
 	    "An attempt on a backend server failed; the request goes on or "
 	    "ends." },
@@ -91,7 +91,7 @@
 	    "The usage of a window was reported to the platform." },
 };
 
-const struct entry_log_word entry_log_keys[LOG_KEYS] = {
+const struct entry_log_description entry_log_keys[LOG_KEYS] = {
 	[LOG_KEY_AHEAD_MS] = { "ahead_ms",
 	    "what servers had to read before it, as urgent or more" },
 	[LOG_KEY_CAME] = { "came", "number of the event that came" },
@@ -205,9 +205,9 @@
 }
 
 /* Limits of lines per second, by priority. */
-static const unsigned int log_most[] = {
+static const unsigned int log_limits_per_s[] = {
 	[ENTRY_LOG_NEEDED] = ENTRY_LOG_NEEDED_PER_S,
-	[ENTRY_LOG_USUAL] = ENTRY_LOG_USUAL_PER_S,
+	[ENTRY_LOG_ROUTINE] = ENTRY_LOG_ROUTINE_PER_S,
 };
 
 /*
@@ -215,18 +215,18 @@
  * displace needed ones.
  */
 static bool
-log_admit(struct entry_log *l, msec now, enum entry_log_weight weight)
+log_admit(struct entry_log *l, msec now, enum entry_log_priority priority)
 {
-	if (now - l->second >= MSEC_SECOND) {
-		l->second = now;
-		memset(l->in_second, 0, sizeof l->in_second);
+	if (now - l->second_start >= MSEC_SECOND) {
+		l->second_start = now;
+		memset(l->lines_in_second, 0, sizeof l->lines_in_second);
 	}
-	if (l->in_second[weight] >= log_most[weight] ||
+	if (l->lines_in_second[priority] >= log_limits_per_s[priority] ||
 	    buffer_left(&l->out) > ENTRY_LOG_BYTES) {
 		l->dropped++;
 		return false;
 	}
-	l->in_second[weight]++;
+	l->lines_in_second[priority]++;
 	l->lines++;
 	return true;
 }
@@ -259,22 +259,24 @@
 static void
 log_dropped(struct entry_log *l)
 {
-	if (l->dropped == l->told || buffer_left(&l->out) > ENTRY_LOG_BYTES / 2)
+	if (l->dropped == l->dropped_reported ||
+	    buffer_left(&l->out) > ENTRY_LOG_BYTES / 2)
 		return;
 	log_start(l, LOG_EVENT_LOG_DROPPED);
-	log_field(&l->out, &(struct entry_log_field)LOG_NUMBER(
-			       LOG_KEY_LINES, l->dropped - l->told));
+	log_field(&l->out, &(struct entry_log_field)LOG_NUMBER(LOG_KEY_LINES,
+			       l->dropped - l->dropped_reported));
 	buffer_add_text(&l->out, "}\n");
-	l->told = l->dropped;
+	l->dropped_reported = l->dropped;
 }
 
 void
-entry_log_fields(struct entry_log *l, msec now, enum entry_log_weight weight,
-    enum entry_log_event event, const struct entry_log_field *fields, size_t n)
+entry_log_fields(struct entry_log *l, msec now,
+    enum entry_log_priority priority, enum entry_log_event event,
+    const struct entry_log_field *fields, size_t n)
 {
 	size_t i;
 
-	if (!log_admit(l, now, weight))
+	if (!log_admit(l, now, priority))
 		return;
 	log_start(l, event);
 	for (i = 0; i < n; i++)
--- a/entry-log.h
+++ b/entry-log.h
@@ -14,9 +14,9 @@
 	struct buffer out;
 	int fd;
 	uint64_t lines, dropped;   /* lines written and left out */
-	uint64_t told;		   /* dropped lines reported so far */
-	msec second;		   /* start of the second of `in_second` */
-	unsigned int in_second[2]; /* lines in this second, by priority */
+	uint64_t dropped_reported; /* dropped lines reported so far */
+	msec second_start; /* start of the second of `lines_in_second` */
+	unsigned int lines_in_second[2]; /* lines in this second, by priority */
 	char node[NAME_SIZE];
 };
 
@@ -24,9 +24,9 @@
  * The priority of a line: needed to explain a failure, or routine. Each has its
  * own limit of lines per second.
  */
-enum entry_log_weight {
+enum entry_log_priority {
 	ENTRY_LOG_NEEDED,
-	ENTRY_LOG_USUAL
+	ENTRY_LOG_ROUTINE
 };
 
 void entry_log_init(struct entry_log *, const char *node);
@@ -136,22 +136,22 @@
 	}
 
 /* A name in the log and its meaning, as the documentation lists them. */
-struct entry_log_word {
+struct entry_log_description {
 	const char *name;
 	const char *meaning;
 };
-extern const struct entry_log_word entry_log_events[LOG_EVENTS];
-extern const struct entry_log_word entry_log_keys[LOG_KEYS];
+extern const struct entry_log_description entry_log_events[LOG_EVENTS];
+extern const struct entry_log_description entry_log_keys[LOG_KEYS];
 
 /*
  * Logs one event: the log, the time, the priority, the event, then its fields
  * as LOG_TEXT() and LOG_NUMBER().
  */
-#define entry_log(l, now, weight, event, ...)                \
-	entry_log_fields((l), (now), (weight), (event),      \
+#define entry_log(l, now, priority, event, ...)              \
+	entry_log_fields((l), (now), (priority), (event),    \
 	    (const struct entry_log_field[]){ __VA_ARGS__ }, \
 	    G_N_ELEMENTS(((const struct entry_log_field[]){ __VA_ARGS__ })))
-void entry_log_fields(struct entry_log *, msec, enum entry_log_weight,
+void entry_log_fields(struct entry_log *, msec, enum entry_log_priority,
     enum entry_log_event, const struct entry_log_field *, size_t);
 /* Writes as much of the buffer as the reader accepts. */
 void entry_log_flush(struct entry_log *);
--- a/entry-metrics.c
+++ b/entry-metrics.c
@@ -10,11 +10,11 @@
 #include <inttypes.h>
 #include <string.h>
 
-static void metrics_request_caller(struct caller *, msec);
-static void metrics_nothing(struct caller *, msec);
+static void metrics_answer_request(struct caller *, msec);
+static void metrics_ignore(struct caller *, msec);
 
-const struct caller_ops metrics_caller_ops = { metrics_request_caller,
-	metrics_nothing, metrics_nothing };
+const struct caller_ops metrics_caller_ops = { metrics_answer_request,
+	metrics_ignore, metrics_ignore };
 
 int
 entry_route_stats_compare(
@@ -429,12 +429,12 @@
 }
 
 static void
-metrics_nothing(struct caller *c, msec now)
+metrics_ignore(struct caller *c, msec now)
 {
 }
 
 static void
-metrics_request_caller(struct caller *c, msec now)
+metrics_answer_request(struct caller *c, msec now)
 {
 	g_autoptr(GString) s = g_string_new(NULL);
 	const char *target = c->reader.head->target;
--- a/entry-poison.c
+++ b/entry-poison.c
@@ -21,31 +21,31 @@
  * A process that ends closes its connections before its listening socket, so
  * the first check begins after a delay, and a second one follows.
  */
-#define CHECK_FIRST_MS 5
-#define CHECK_AGAIN_MS 40
-#define CHECK_LOOKS 2
+#define CHECK_FIRST_DELAY_MS 5
+#define CHECK_NEXT_DELAY_MS 40
+#define CHECK_CONNECTIONS 2
 /* Longest time that a request waits for the result of a check. */
-#define CHECK_WAIT_MS 60
+#define CHECK_REQUEST_WAIT_MS 60
 /* Timeout of the connection; the server counts as silent after it. */
-#define CHECK_SILENT_MS 300
+#define CHECK_CONNECT_TIMEOUT_MS 300
 /* The platform reports the end of a process within this time. */
-#define CHECK_LISTED_MS (10 * MSEC_SECOND)
+#define CHECK_PLATFORM_WAIT_MS (10 * MSEC_SECOND)
 /*
  * All connections to a process break within this time after its end; the
  * requests on them become suspects, too.
  */
-#define CHECK_ENDED_MS (2 * MSEC_SECOND)
+#define CHECK_ENDED_KEEP_MS (2 * MSEC_SECOND)
 /*
  * Requests abandoned at a server within this time before its end may have
  * caused it.
  */
-#define POISON_LEFT_MS 2000
+#define POISON_ABANDONED_MS 2000
 
 enum check_state {
-	CHECK_DUE,    /* waits for the delay of the next connection */
-	CHECK_RUNS,   /* the connection is being established */
-	CHECK_SILENT, /* no answer; the platform's list decides */
-	CHECK_ENDED   /* the process has ended */
+	CHECK_DELAYED,	  /* waits for the delay of the next connection */
+	CHECK_CONNECTING, /* the connection is being established */
+	CHECK_SILENT,	  /* no answer; the platform's list decides */
+	CHECK_ENDED	  /* the process has ended */
 };
 
 /* A check of a server's process after a connection to it broke. */
@@ -55,25 +55,25 @@
 	struct entry *owner;
 	name_id server;
 	char name[SERVER_NAME_SIZE];
-	uint64_t life; /* of the process: server_life() */
+	uint64_t process; /* of the process: server_process_id() */
 	uint32_t address;
 	uint16_t port;
 	enum check_state state;
-	unsigned int looks;	 /* connections tried */
-	struct loop_timer timer; /* ends the state */
-	struct loop_timer wait;	 /* releases the requests that wait */
+	unsigned int connections;     /* connections tried */
+	struct loop_timer timer;      /* ends the state */
+	struct loop_timer wait_timer; /* releases the requests that wait */
 	msec since;
-	GArray *aboard; /* struct poison_id: requests it was running */
+	GArray *requests; /* struct poison_id: requests it was running */
 };
 
-static void check_ready(struct loop_io *, uint32_t);
-static void check_timer(struct loop_timer *, msec);
-static void check_wait(struct loop_timer *, msec);
-static void check_look(struct server_check *, msec);
+static void check_connected(struct loop_io *, uint32_t);
+static void check_state_timer(struct loop_timer *, msec);
+static void check_wait_timer(struct loop_timer *, msec);
+static void check_start_connection(struct server_check *, msec);
 
 /* Hashes the identity of a server's process, the same on all nodes. */
 static uint64_t
-server_life(const struct server *v)
+server_process_id(const struct server *v)
 {
 	uint64_t words[3] = { v->id, (uint64_t)v->born,
 		((uint64_t)v->address << 16) | v->port };
@@ -84,7 +84,7 @@
 /* ---- results of a check ---- */
 
 static struct job *
-check_waiting(const struct server_check *c)
+check_find_waiting_job(const struct server_check *c)
 {
 	struct job *j;
 
@@ -97,14 +97,14 @@
 
 /* Resumes the requests that wait for the result. */
 static void
-check_let_go(struct server_check *c, msec now)
+check_resume_requests(struct server_check *c, msec now)
 {
 	struct entry *e = c->owner;
 	struct job *j;
 
-	loop_timer_stop(&e->loop, &c->wait);
+	loop_timer_stop(&e->loop, &c->wait_timer);
 	/* Start over each time: resuming one job may end others. */
-	while ((j = check_waiting(c)) != NULL) {
+	while ((j = check_find_waiting_job(c)) != NULL) {
 		j->check = NULL;
 		poison_settled(&e->poison.core, now, j->fingerprint);
 		job_server_checked(j, now);
@@ -117,52 +117,52 @@
 	struct entry *e = c->owner;
 
 	loop_timer_stop(&e->loop, &c->timer);
-	loop_timer_stop(&e->loop, &c->wait);
+	loop_timer_stop(&e->loop, &c->wait_timer);
 	loop_close(&e->loop, &c->io);
 	TAILQ_REMOVE(&e->poison.checks, c, entry);
-	g_array_unref(c->aboard);
+	g_array_unref(c->requests);
 	g_free(c);
 }
 
 static void
-check_add_left(struct server_check *c, msec now)
+check_add_abandoned(struct server_check *c, msec now)
 {
 	struct entry_poison *x = &c->owner->poison;
 	unsigned int i;
 
-	for (i = 0; i < POISON_LEFT; i++) {
-		if (x->left[i].life != c->life ||
-		    now - x->left[i].at > POISON_LEFT_MS)
+	for (i = 0; i < POISON_ABANDONED_MAX; i++) {
+		if (x->abandoned[i].process != c->process ||
+		    now - x->abandoned[i].at > POISON_ABANDONED_MS)
 			continue;
-		g_array_append_val(c->aboard, x->left[i].id);
-		x->left[i].life = 0;
+		g_array_append_val(c->requests, x->abandoned[i].id);
+		x->abandoned[i].process = 0;
 	}
 }
 
 /* The process has ended: all requests that it was running are suspects. */
 static void
-check_ended(struct server_check *c, msec now)
+check_process_ended(struct server_check *c, msec now)
 {
 	struct entry *e = c->owner;
-	g_autoptr(GArray) aboard = NULL;
+	g_autoptr(GArray) requests = NULL;
 	guint i;
 
-	check_add_left(c, now);
-	aboard = c->aboard;
-	c->aboard = g_array_new(FALSE, FALSE, sizeof(struct poison_id));
+	check_add_abandoned(c, now);
+	requests = c->requests;
+	c->requests = g_array_new(FALSE, FALSE, sizeof(struct poison_id));
 	c->state = CHECK_ENDED;
-	e->poison.ended++;
+	e->poison.servers_ended++;
 	loop_close(&e->loop, &c->io);
-	loop_timer_set(&e->loop, &c->timer, now + CHECK_ENDED_MS);
-	if (aboard->len > 0)
+	loop_timer_set(&e->loop, &c->timer, now + CHECK_ENDED_KEEP_MS);
+	if (requests->len > 0)
 		entry_log(&e->log, now, ENTRY_LOG_NEEDED,
 		    LOG_EVENT_SERVER_ENDED, LOG_TEXT(LOG_KEY_SERVER, c->name),
-		    LOG_NUMBER(LOG_KEY_REQUESTS, aboard->len),
+		    LOG_NUMBER(LOG_KEY_REQUESTS, requests->len),
 		    LOG_NUMBER(LOG_KEY_MS, now - c->since));
-	for (i = 0; i < aboard->len; i++)
+	for (i = 0; i < requests->len; i++)
 		poison_ended(&e->poison.core, now,
-		    g_array_index(aboard, struct poison_id, i), c->life);
-	check_let_go(c, now);
+		    g_array_index(requests, struct poison_id, i), c->process);
+	check_resume_requests(c, now);
 }
 
 /*
@@ -170,51 +170,52 @@
  * resumes the requests, then checks once more.
  */
 static void
-check_stands(struct server_check *c, msec now)
+check_server_accepts(struct server_check *c, msec now)
 {
 	struct entry *e = c->owner;
 
-	check_let_go(c, now);
+	check_resume_requests(c, now);
 	loop_close(&e->loop, &c->io);
-	if (c->looks == CHECK_LOOKS) {
+	if (c->connections == CHECK_CONNECTIONS) {
 		check_free(c);
 		return;
 	}
-	c->state = CHECK_DUE;
-	loop_timer_set(&e->loop, &c->timer, now + CHECK_AGAIN_MS);
+	c->state = CHECK_DELAYED;
+	loop_timer_set(&e->loop, &c->timer, now + CHECK_NEXT_DELAY_MS);
 }
 
 /* The check was inconclusive: wait for the platform's list to change. */
 static void
-check_silent(struct server_check *c, msec now)
+check_server_silent(struct server_check *c, msec now)
 {
 	c->state = CHECK_SILENT;
 	loop_close(&c->owner->loop, &c->io);
-	loop_timer_set(&c->owner->loop, &c->timer, now + CHECK_LISTED_MS);
-	check_let_go(c, now);
+	loop_timer_set(
+	    &c->owner->loop, &c->timer, now + CHECK_PLATFORM_WAIT_MS);
+	check_resume_requests(c, now);
 }
 
 static void
-check_timer(struct loop_timer *t, msec now)
+check_state_timer(struct loop_timer *t, msec now)
 {
 	struct server_check *c = t->arg;
 
-	if (c->state == CHECK_DUE)
-		check_look(c, now);
-	else if (c->state == CHECK_RUNS)
-		check_silent(c, now);
+	if (c->state == CHECK_DELAYED)
+		check_start_connection(c, now);
+	else if (c->state == CHECK_CONNECTING)
+		check_server_silent(c, now);
 	else
 		check_free(c);
 }
 
 static void
-check_wait(struct loop_timer *t, msec now)
+check_wait_timer(struct loop_timer *t, msec now)
 {
-	check_let_go(t->arg, now);
+	check_resume_requests(t->arg, now);
 }
 
 static void
-check_ready(struct loop_io *io, uint32_t events)
+check_connected(struct loop_io *io, uint32_t events)
 {
 	struct server_check *c = (struct server_check *)io;
 	msec now = c->owner->loop.now;
@@ -223,11 +224,11 @@
 
 	if (getsockopt(io->fd, SOL_SOCKET, SO_ERROR, &error, &len) == -1 ||
 	    error == 0 || error == ECONNRESET)
-		check_stands(c, now);
+		check_server_accepts(c, now);
 	else if (error == ECONNREFUSED)
-		check_ended(c, now);
+		check_process_ended(c, now);
 	else
-		check_silent(c, now);
+		check_server_silent(c, now);
 }
 
 /* ---- checking a server ---- */
@@ -250,7 +251,7 @@
 		return CHECK_SILENT;
 	}
 	c->owner->counters.connects++;
-	c->owner->poison.checked++;
+	c->owner->poison.servers_checked++;
 	sin.sin_addr.s_addr = htonl(c->address);
 	sin.sin_port = htons(c->port);
 	if (connect(fd, (struct sockaddr *)&sin, sizeof sin) == -1 &&
@@ -258,18 +259,18 @@
 		close(fd);
 		return errno == ECONNREFUSED ? CHECK_ENDED : CHECK_SILENT;
 	}
-	c->io = (struct loop_io){ check_ready, fd, 0 };
-	return loop_watch(&c->owner->loop, &c->io, EPOLLOUT) ? CHECK_RUNS
+	c->io = (struct loop_io){ check_connected, fd, 0 };
+	return loop_watch(&c->owner->loop, &c->io, EPOLLOUT) ? CHECK_CONNECTING
 							     : CHECK_SILENT;
 }
 
 static struct server_check *
-check_find(struct entry *e, uint64_t life)
+check_find(struct entry *e, uint64_t process)
 {
 	struct server_check *c;
 
 	TAILQ_FOREACH (c, &e->poison.checks, entry) {
-		if (c->life == life)
+		if (c->process == process)
 			return c;
 	}
 	return NULL;
@@ -284,37 +285,38 @@
 	c->owner = e;
 	c->server = v->id;
 	g_strlcpy(c->name, v->name, sizeof c->name);
-	c->life = server_life(v);
+	c->process = server_process_id(v);
 	c->address = v->address;
 	c->port = v->port;
 	c->since = now;
-	c->state = CHECK_DUE;
-	c->aboard = g_array_new(FALSE, FALSE, sizeof(struct poison_id));
-	loop_timer_init(&c->timer, check_timer, c);
-	loop_timer_init(&c->wait, check_wait, c);
+	c->state = CHECK_DELAYED;
+	c->requests = g_array_new(FALSE, FALSE, sizeof(struct poison_id));
+	loop_timer_init(&c->timer, check_state_timer, c);
+	loop_timer_init(&c->wait_timer, check_wait_timer, c);
 	TAILQ_INSERT_TAIL(&e->poison.checks, c, entry);
 	return c;
 }
 
 static void
-check_look(struct server_check *c, msec now)
+check_start_connection(struct server_check *c, msec now)
 {
 	enum check_state state = check_connect(c);
 
-	c->looks++;
+	c->connections++;
 	if (state == CHECK_ENDED) {
-		check_ended(c, now);
+		check_process_ended(c, now);
 	} else if (state == CHECK_SILENT) {
-		check_silent(c, now);
+		check_server_silent(c, now);
 	} else {
-		c->state = CHECK_RUNS;
+		c->state = CHECK_CONNECTING;
 		loop_timer_set(
-		    &c->owner->loop, &c->timer, now + CHECK_SILENT_MS);
+		    &c->owner->loop, &c->timer, now + CHECK_CONNECT_TIMEOUT_MS);
 	}
 }
 
 bool
-entry_poison_broke(struct job *j, const struct server *v, bool waits, msec now)
+entry_poison_connection_broke(
+    struct job *j, const struct server *v, bool waits, msec now)
 {
 	struct entry *e = j->owner;
 	struct server_check *c;
@@ -322,46 +324,49 @@
 	/* A server that is not ready ends as planned. */
 	if (v->state != SERVER_READY || poison_id_is_none(j->fingerprint))
 		return false;
-	c = check_find(e, server_life(v));
+	c = check_find(e, server_process_id(v));
 	if (c != NULL && c->state == CHECK_ENDED) {
-		poison_ended(&e->poison.core, now, j->fingerprint, c->life);
+		poison_ended(&e->poison.core, now, j->fingerprint, c->process);
 		return false;
 	}
 	if (c == NULL) {
 		c = check_new(e, v, now);
-		loop_timer_set(&e->loop, &c->timer, now + CHECK_FIRST_MS);
-		loop_timer_set(&e->loop, &c->wait, now + CHECK_WAIT_MS);
+		loop_timer_set(&e->loop, &c->timer, now + CHECK_FIRST_DELAY_MS);
+		loop_timer_set(
+		    &e->loop, &c->wait_timer, now + CHECK_REQUEST_WAIT_MS);
 	}
-	g_array_append_val(c->aboard, j->fingerprint);
-	if (!waits || !c->wait.set)
+	g_array_append_val(c->requests, j->fingerprint);
+	if (!waits || !c->wait_timer.set)
 		return false;
 	j->check = c;
 	return true;
 }
 
 void
-entry_poison_left(const struct job *j, const struct server *v, msec now)
+entry_poison_request_abandoned(
+    const struct job *j, const struct server *v, msec now)
 {
 	struct entry_poison *x = &j->owner->poison;
 
 	if (v->state != SERVER_READY || poison_id_is_none(j->fingerprint))
 		return;
-	x->left[x->next_left] =
-	    (struct poison_left){ j->fingerprint, server_life(v), now };
-	x->next_left = (x->next_left + 1) % POISON_LEFT;
+	x->abandoned[x->next_abandoned] =
+	    (struct poison_abandoned){ j->fingerprint, server_process_id(v),
+		    now };
+	x->next_abandoned = (x->next_abandoned + 1) % POISON_ABANDONED_MAX;
 }
 
 void
-entry_poison_refused(struct entry *e, struct server *v, msec now)
+entry_poison_connection_refused(struct entry *e, struct server *v, msec now)
 {
 	struct server_check *c;
 
 	if (v->state != SERVER_READY)
 		return;
-	if ((c = check_find(e, server_life(v))) == NULL)
+	if ((c = check_find(e, server_process_id(v))) == NULL)
 		c = check_new(e, v, now);
 	if (c->state != CHECK_ENDED)
-		check_ended(c, now);
+		check_process_ended(c, now);
 }
 
 /*
@@ -371,7 +376,7 @@
  * it was restarted.
  */
 void
-entry_poison_listed(struct entry *e, struct server *v, msec now)
+entry_poison_server_changed(struct entry *e, struct server *v, msec now)
 {
 	struct server_check *c, *next;
 
@@ -381,7 +386,7 @@
 		if (v->state == SERVER_DRAINING)
 			check_free(c);
 		else
-			check_ended(c, now);
+			check_process_ended(c, now);
 	}
 }
 
@@ -406,7 +411,7 @@
 	if (v != POISON_WAIT)
 		job_fail(j, now, JOB_POISON);
 	else
-		entry_poison_soon(e, now);
+		entry_poison_reschedule(e, now);
 	return false;
 }
 
@@ -445,7 +450,7 @@
 
 /* Finds a request that was sent to a server but not answered yet. */
 static struct job *
-poison_unbegun(struct entry *e, struct poison_id id)
+poison_find_unanswered(struct entry *e, struct poison_id id)
 {
 	struct job *j;
 
@@ -473,7 +478,7 @@
 	entry_log(&e->log, now, ENTRY_LOG_NEEDED, LOG_EVENT_CONDEMNED,
 	    LOG_TEXT(LOG_KEY_SAME, fingerprint),
 	    LOG_NUMBER(LOG_KEY_ENDS, poison_ends(p, id)));
-	while ((j = poison_unbegun(e, id)) != NULL) {
+	while ((j = poison_find_unanswered(e, id)) != NULL) {
 		j->may_have_run |= j->link->sent;
 		job_fail(j, now, JOB_POISON);
 	}
@@ -513,7 +518,7 @@
 }
 
 void
-entry_poison_soon(struct entry *e, msec now)
+entry_poison_reschedule(struct entry *e, msec now)
 {
 	poison_timer(&e->poison.timer, now);
 }
@@ -559,8 +564,9 @@
 	const struct poison_counters *c = &x->core.counters;
 
 	metric(s, "poison_records", "gauge", x->core.count);
-	metric(s, "poison_servers_checked_total", "counter", x->checked);
-	metric(s, "poison_servers_ended_total", "counter", x->ended);
+	metric(
+	    s, "poison_servers_checked_total", "counter", x->servers_checked);
+	metric(s, "poison_servers_ended_total", "counter", x->servers_ended);
 	metric(s, "poison_suspicions_total", "counter", c->ends);
 	metric(s, "poison_cleared_total", "counter", c->cleared);
 	metric(s, "poison_condemned_total", "counter", c->condemned);
--- a/entry-poison.h
+++ b/entry-poison.h
@@ -22,11 +22,11 @@
  * Number of requests remembered after they were abandoned at a server: they may
  * still cause the end of its process.
  */
-#define POISON_LEFT 64
+#define POISON_ABANDONED_MAX 64
 
-struct poison_left {
+struct poison_abandoned {
 	struct poison_id id;
-	uint64_t life; /* process of the server; 0: unused */
+	uint64_t process; /* process of the server; 0: unused */
 	msec at;
 };
 
@@ -34,9 +34,10 @@
 	struct poisons core;
 	struct loop_timer timer;
 	struct server_checks checks;
-	struct poison_left left[POISON_LEFT];
-	unsigned int next_left;
-	uint64_t checked, ended; /* checks begun, processes found ended */
+	struct poison_abandoned abandoned[POISON_ABANDONED_MAX];
+	unsigned int next_abandoned;
+	uint64_t servers_checked,
+	    servers_ended; /* checks begun, processes found ended */
 };
 
 void entry_poison_init(struct entry *);
@@ -55,15 +56,17 @@
  * process. The request becomes a suspect if the process has ended. Returns true
  * if the request must wait for the result; then job_server_checked() is called.
  */
-bool entry_poison_broke(struct job *, const struct server *, bool waits, msec);
+bool entry_poison_connection_broke(
+    struct job *, const struct server *, bool waits, msec);
 /* A request was abandoned while the server was running it. */
-void entry_poison_left(const struct job *, const struct server *, msec);
+void
+entry_poison_request_abandoned(const struct job *, const struct server *, msec);
 /* A server refused a connection: its process has ended. */
-void entry_poison_refused(struct entry *, struct server *, msec);
+void entry_poison_connection_refused(struct entry *, struct server *, msec);
 /* The state of a server in the platform's list has changed. */
-void entry_poison_listed(struct entry *, struct server *, msec);
+void entry_poison_server_changed(struct entry *, struct server *, msec);
 /* Updates the timer after new work for poison.c. */
-void entry_poison_soon(struct entry *, msec);
+void entry_poison_reschedule(struct entry *, msec);
 /* Passes the live nodes to poisons_set_nodes(). */
 void entry_poison_set_nodes(struct entry *, msec);
 void entry_poison_metrics(const struct entry *, GString *);
--- a/entry-relay.c
+++ b/entry-relay.c
@@ -221,13 +221,13 @@
 void
 entry_take_proof(struct entry *e, msec asked)
 {
-	if (entry_start_waits(e))
-		entry_start_hold_proof(e, asked);
+	if (entry_start_must_defer(e))
+		entry_start_defer_proof(e, asked);
 	/*
 	 * No configuration has been published yet, or the store may have lost
 	 * the newest one.
 	 */
-	if (e->table == NULL || !entry_era_proves(e, asked)) {
+	if (e->table == NULL || !entry_era_proves_newest(e, asked)) {
 		relay_read_unusable(&e->relay, RELAY_CONFIGURATION, asked);
 		return;
 	}
--- a/entry-settings.c
+++ b/entry-settings.c
@@ -24,7 +24,7 @@
 }
 
 static bool
-endpoint_same(const struct endpoint *a, const struct endpoint *b)
+endpoint_equal(const struct endpoint *a, const struct endpoint *b)
 {
 	return a->address == b->address && a->port == b->port;
 }
@@ -34,16 +34,16 @@
 {
 	return strcmp(a->node, b->node) != 0 ||
 	       strcmp(a->domain, b->domain) != 0 ||
-	       !endpoint_same(&a->caller, &b->caller) ||
-	       !endpoint_same(&a->peer, &b->peer) ||
-	       !endpoint_same(&a->ready, &b->ready) ||
-	       !endpoint_same(&a->directory, &b->directory) ||
-	       !endpoint_same(&a->metrics, &b->metrics) ||
-	       !endpoint_same(&a->store, &b->store);
+	       !endpoint_equal(&a->caller, &b->caller) ||
+	       !endpoint_equal(&a->peer, &b->peer) ||
+	       !endpoint_equal(&a->ready, &b->ready) ||
+	       !endpoint_equal(&a->directory, &b->directory) ||
+	       !endpoint_equal(&a->metrics, &b->metrics) ||
+	       !endpoint_equal(&a->store, &b->store);
 }
 
 static void
-settings_take_bounds(struct settings *to, const struct settings *from)
+settings_copy_limits(struct settings *to, const struct settings *from)
 {
 	to->keys_fail_closed = from->keys_fail_closed;
 	to->keys_bound = from->keys_bound;
@@ -84,7 +84,7 @@
 		    settings_need_restart(e->settings, &s)
 			? "limits applied; names and addresses need a restart"
 			: "applied");
-		settings_take_bounds(e->settings, &s);
+		settings_copy_limits(e->settings, &s);
 		entry_state_apply(e);
 		settings_finish(&s);
 	}
--- a/entry-start.c
+++ b/entry-start.c
@@ -13,29 +13,30 @@
  * version. Nodes that are starting themselves have none yet and may be queried
  * again in a later round.
  */
-#define START_NODES 3
+#define START_NODES_PER_ROUND 3
 /* Interval of the rounds; an answer takes a few milliseconds. */
-#define START_AGAIN_MS 60
+#define START_ROUND_INTERVAL_MS 60
 /* Bound of all rounds, because no caller is served during them. */
-#define START_MOST_MS 400
+#define START_QUERY_MAX_MS 400
 
 static void
-start_end(struct entry *e, msec now)
+start_complete(struct entry *e, msec now)
 {
 	struct entry_start *s = &e->start;
 	struct route_table *t = s->table;
 
 	loop_timer_stop(&e->loop, &s->timer);
 	s->done = true;
-	s->asking = false;
+	s->querying = false;
 	s->table = NULL;
-	log_debug("%u nodes answered with a configuration version", s->know);
-	s->unanswered = s->know == 0;
+	log_debug(
+	    "%u nodes answered with a configuration version", s->informed);
+	s->unanswered = s->informed == 0;
 	if (t == NULL)
 		return;
 	entry_take_table(e, t, now);
-	if (s->asked != MSEC_NEVER)
-		entry_take_proof(e, s->asked);
+	if (s->read_sent_at != MSEC_NEVER)
+		entry_take_proof(e, s->read_sent_at);
 }
 
 static void
@@ -48,10 +49,11 @@
 }
 
 static bool
-start_is_enough(const struct entry_start *s)
+start_has_enough_answers(const struct entry_start *s)
 {
-	return s->know >= START_NODES ||
-	       (s->listed && g_hash_table_size(s->told) >= s->nodes->len);
+	return s->informed >= START_NODES_PER_ROUND ||
+	       (s->nodes_listed &&
+		   g_hash_table_size(s->responders) >= s->nodes->len);
 }
 
 static void
@@ -61,15 +63,15 @@
 	struct entry_start *s = &e->start;
 	guint i;
 
-	if (now >= s->until || start_is_enough(s)) {
-		start_end(e, now);
+	if (now >= s->query_deadline || start_has_enough_answers(s)) {
+		start_complete(e, now);
 		return;
 	}
-	for (i = 0; i < MIN(START_NODES, s->nodes->len); i++) {
+	for (i = 0; i < MIN(START_NODES_PER_ROUND, s->nodes->len); i++) {
 		start_ask(e, &g_array_index(s->nodes, struct vm, s->next));
 		s->next = (s->next + 1) % s->nodes->len;
 	}
-	loop_timer_set(&e->loop, t, now + START_AGAIN_MS);
+	loop_timer_set(&e->loop, t, now + START_ROUND_INTERVAL_MS);
 }
 
 /* Nodes that start at the same time query different ones first. */
@@ -92,7 +94,7 @@
 
 /* Adds a node once; the local node is left out. */
 static void
-start_add(struct entry *e, const struct vm *vm)
+start_add_node(struct entry *e, const struct vm *vm)
 {
 	const struct settings *s = e->settings;
 	GArray *nodes = e->start.nodes;
@@ -125,59 +127,60 @@
 		vm.address = s->seeds[i].address;
 		vm.port = s->seeds_port != 0 ? (uint16_t)s->seeds_port
 					     : s->seeds[i].port;
-		start_add(e, &vm);
+		start_add_node(e, &vm);
 	}
 }
 
 bool
-entry_start_waits(const struct entry *e)
+entry_start_must_defer(const struct entry *e)
 {
 	return e->phase == ENTRY_STARTING && !e->start.done &&
 	       e->era.number != 0;
 }
 
 void
-entry_start_hold(struct entry *e, struct route_table *t, msec now)
+entry_start_defer_table(struct entry *e, struct route_table *t, msec now)
 {
 	struct entry_start *s = &e->start;
 
 	route_table_drop(s->table);
 	s->table = t;
-	if (s->asking)
+	if (s->querying)
 		return;
-	s->asking = true;
-	s->until = now + START_MOST_MS;
+	s->querying = true;
+	s->query_deadline = now + START_QUERY_MAX_MS;
 	start_add_seeds(e);
 	e->source->ops->find_nodes(e->source);
-	loop_timer_set(&e->loop, &s->timer, s->nodes->len > 0 ? now : s->until);
+	loop_timer_set(
+	    &e->loop, &s->timer, s->nodes->len > 0 ? now : s->query_deadline);
 }
 
 void
-entry_start_hold_proof(struct entry *e, msec asked)
+entry_start_defer_proof(struct entry *e, msec read_sent_at)
 {
-	e->start.asked = asked;
+	e->start.read_sent_at = read_sent_at;
 }
 
 void
-entry_start_nodes(
+entry_start_set_nodes(
     struct entry *e, const struct vm *vms, unsigned int n, msec now)
 {
 	struct entry_start *s = &e->start;
 	unsigned int i;
 
-	if (!s->asking || s->listed)
+	if (!s->querying || s->nodes_listed)
 		return;
-	s->listed = true;
+	s->nodes_listed = true;
 	for (i = 0; i < n; i++) {
 		if (strcmp(vms[i].name, e->settings->node) != 0)
-			start_add(e, &vms[i]);
+			start_add_node(e, &vms[i]);
 	}
 	start_shuffle(e);
 	loop_timer_set(&e->loop, &s->timer, now);
 }
 
 static void
-start_answer(struct entry *e, uint32_t address, uint16_t port,
+start_send_answer(struct entry *e, uint32_t address, uint16_t port,
     const sp_start_ask *ask, msec now)
 {
 	sp_msg msg = { .kind = SP_START_TELL };
@@ -197,7 +200,8 @@
  * configuration in force is the newest.
  */
 static void
-start_told(struct entry *e, name_id from, const sp_start_tell *t, msec now)
+start_receive_answer(
+    struct entry *e, name_id from, const sp_start_tell *t, msec now)
 {
 	struct entry_start *s = &e->start;
 	bool first;
@@ -206,12 +210,12 @@
 		log_debug("answer with an unknown sequence number dropped");
 		return;
 	}
-	first = g_hash_table_add(s->told, g_memdup2(&from, sizeof from));
-	s->know += first && t->newest_version > 0;
+	first = g_hash_table_add(s->responders, g_memdup2(&from, sizeof from));
+	s->informed += first && t->newest_version > 0;
 	s->version = MAX(s->version, t->newest_version);
 	era_told(&e->era, now, t->era, t->era_age_ms);
-	if (s->asking && start_is_enough(s))
-		start_end(e, now);
+	if (s->querying && start_has_enough_answers(s))
+		start_complete(e, now);
 }
 
 void
@@ -219,9 +223,10 @@
     uint16_t port, const sp_msg *msg, msec now)
 {
 	if (msg->kind == SP_START_ASK)
-		start_answer(e, address, port, &msg->sp_msg_u.start_ask, now);
+		start_send_answer(
+		    e, address, port, &msg->sp_msg_u.start_ask, now);
 	else
-		start_told(e, from, &msg->sp_msg_u.start_tell, now);
+		start_receive_answer(e, from, &msg->sp_msg_u.start_tell, now);
 }
 
 void
@@ -229,9 +234,9 @@
 {
 	e->start = (struct entry_start){ .seq = g_rand_int(e->rand),
 		.nodes = g_array_new(FALSE, FALSE, sizeof(struct vm)),
-		.told = g_hash_table_new_full(
+		.responders = g_hash_table_new_full(
 		    g_int64_hash, g_int64_equal, g_free, NULL),
-		.asked = MSEC_NEVER };
+		.read_sent_at = MSEC_NEVER };
 	loop_timer_init(&e->start.timer, start_timer, e);
 }
 
@@ -240,7 +245,7 @@
 {
 	loop_timer_stop(&e->loop, &e->start.timer);
 	g_array_unref(e->start.nodes);
-	g_hash_table_unref(e->start.told);
+	g_hash_table_unref(e->start.responders);
 	route_table_drop(e->start.table);
 	e->start.table = NULL;
 }
--- a/entry-start.h
+++ b/entry-start.h
@@ -6,7 +6,7 @@
  * configuration that it has read. If no node answers, because all were killed
  * together, it uses that configuration. Where keys fail closed, the
  * configuration then counts as proven to be the newest only once the store's
- * era has settled (see entry_era_proves()).
+ * era has settled (see entry_era_proves_newest()).
  */
 
 #ifndef ENTRY_START_H
@@ -22,20 +22,20 @@
 
 struct entry_start {
 	struct loop_timer timer;
-	bool asking; /* other nodes are being queried */
+	bool querying; /* other nodes are being queried */
 	bool done;
-	uint32_t seq;	   /* of the queries; answers repeat it */
-	msec until;	   /* the queries end then at the latest */
-	uint64_t version;  /* the newest in any answer */
-	bool listed;	   /* the source has listed the nodes */
-	GArray *nodes;	   /* struct vm: nodes to query, in this order */
-	guint next;	   /* index in `nodes` */
-	GHashTable *told;  /* name_id: nodes that have answered */
-	unsigned int know; /* answers with a configuration version */
-	bool unanswered;   /* no node answered with a version */
+	uint32_t seq;		/* of the queries; answers repeat it */
+	msec query_deadline;	/* the queries end then at the latest */
+	uint64_t version;	/* the newest in any answer */
+	bool nodes_listed;	/* the source has listed the nodes */
+	GArray *nodes;		/* struct vm: nodes to query, in this order */
+	guint next;		/* index in `nodes` */
+	GHashTable *responders; /* name_id: nodes that have answered */
+	unsigned int informed;	/* answers with a configuration version */
+	bool unanswered;	/* no node answered with a version */
 	struct route_table *table; /* deferred; NULL: none */
 	/* When the read that found none newer was sent; MSEC_NEVER: none. */
-	msec asked;
+	msec read_sent_at;
 };
 
 void entry_start_init(struct entry *);
@@ -44,16 +44,17 @@
  * Returns true while a configuration must be deferred: during the start, unless
  * the store names no eras.
  */
-bool entry_start_waits(const struct entry *);
+bool entry_start_must_defer(const struct entry *);
 /*
  * Defers a configuration until other nodes have answered, replacing one that is
  * deferred already. Takes over the reference.
  */
-void entry_start_hold(struct entry *, struct route_table *, msec);
+void entry_start_defer_table(struct entry *, struct route_table *, msec);
 /* A read sent at time `asked` found no configuration newer than this. */
-void entry_start_hold_proof(struct entry *, msec asked);
+void entry_start_defer_proof(struct entry *, msec read_sent_at);
 /* Called by the source with the nodes that are registered at the platform. */
-void entry_start_nodes(struct entry *, const struct vm *, unsigned int, msec);
+void
+entry_start_set_nodes(struct entry *, const struct vm *, unsigned int, msec);
 /* Handles a message of kind SP_START_ASK or SP_START_TELL. */
 void entry_start_receive(struct entry *, name_id from, uint32_t address,
     uint16_t port, const sp_msg *, msec);
--- a/entry-state.c
+++ b/entry-state.c
@@ -16,14 +16,14 @@
  * read by its server only after its key was checked, and because the clocks of
  * two VMs run at different rates.
  */
-#define STATE_FRESH_MARGIN_MS 700
+#define STATE_PROOF_MARGIN_MS 700
 /*
  * After the source has answered again, servers whose registrations expired
  * during the outage register again within two seconds.
  */
-#define STATE_HOLD_MS 2300
+#define STATE_SERVERS_HOLD_MS 2300
 /* Load in permille that a node announces while it is not ready. */
-#define STATE_LOAD_FULL 1000
+#define STATE_LOAD_NOT_READY 1000
 
 struct retry_budget *
 entry_budget(struct entry *e, name_id service)
@@ -51,7 +51,7 @@
 				    : v->state == SERVER_DRAINING ? "draining"
 								  : "gone"),
 	    LOG_NUMBER(LOG_KEY_RUNNING, v->own.running));
-	entry_poison_listed(e, v, e->loop.now);
+	entry_poison_server_changed(e, v, e->loop.now);
 	link_close_stale(e, v);
 }
 
@@ -214,7 +214,7 @@
     struct entry *e, const struct vm *vms, unsigned int n, msec now)
 {
 	members_set_list(&e->members, now, vms, n);
-	entry_start_nodes(e, vms, n, now);
+	entry_start_set_nodes(e, vms, n, now);
 }
 
 /* ---- the source ---- */
@@ -227,8 +227,8 @@
 		route_table_drop(t);
 		return;
 	}
-	if (entry_start_waits(e)) {
-		entry_start_hold(e, t, now);
+	if (entry_start_must_defer(e)) {
+		entry_start_defer_table(e, t, now);
 		return;
 	}
 	/* Other nodes have a newer version, which the store has lost. */
@@ -264,7 +264,7 @@
 
 	RB_FOREACH (m, member_tree, (struct member_tree *)&e->members.tree) {
 		if (m->state == MEMBER_ALIVE && !m->leaving &&
-		    m->load_permille < STATE_LOAD_FULL)
+		    m->load_permille < STATE_LOAD_NOT_READY)
 			return true;
 	}
 	return false;
@@ -273,7 +273,7 @@
 void
 entry_source_down(struct entry *e, msec now, const char *why)
 {
-	servers_keep_unlisted(&e->servers, now + STATE_HOLD_MS);
+	servers_keep_unlisted(&e->servers, now + STATE_SERVERS_HOLD_MS);
 	if (!e->source_up)
 		return;
 	e->source_up = false;
@@ -289,7 +289,7 @@
 	if (e->source_up)
 		return;
 	e->source_up = true;
-	servers_keep_unlisted(&e->servers, now + STATE_HOLD_MS);
+	servers_keep_unlisted(&e->servers, now + STATE_SERVERS_HOLD_MS);
 	entry_log(&e->log, now, ENTRY_LOG_NEEDED, LOG_EVENT_PLATFORM_BACK,
 	    LOG_NUMBER(LOG_KEY_MS, now - e->source_lost_since));
 }
@@ -310,7 +310,7 @@
 	const struct settings *s = e->settings;
 
 	e->fresh.bound = s->keys_fail_closed
-			     ? MAX(s->keys_bound - STATE_FRESH_MARGIN_MS, 1)
+			     ? MAX(s->keys_bound - STATE_PROOF_MARGIN_MS, 1)
 			     : 0;
 	e->budget = (struct retry_budget_config){ s->retry_window,
 		s->retry_permille, s->retry_fixed };
@@ -364,7 +364,7 @@
 	servers_tick(&e->servers, now);
 	entry_era_tick(e, now);
 	members_set_self(&e->members, e->table != NULL ? e->table->version : 0,
-	    entry_is_ready(e, now) ? 0 : STATE_LOAD_FULL);
+	    entry_is_ready(e, now) ? 0 : STATE_LOAD_NOT_READY);
 	/* Other nodes learn of this node once it can serve. */
 	if (e->phase != ENTRY_STARTING)
 		members_tick(&e->members, now);
--- a/entry.c
+++ b/entry.c
@@ -69,7 +69,7 @@
 	struct entry *e = l->arg;
 
 	entry_place_arm_timer(e, now);
-	entry_poison_soon(e, now);
+	entry_poison_reschedule(e, now);
 	net_flush(&e->net);
 	entry_log_flush(&e->log);
 }
--- a/tests/test-entry-log.c
+++ b/tests/test-entry-log.c
@@ -90,7 +90,7 @@
 
 	log_to_pipe(&l);
 	for (i = 0; i < 2000; i++) {
-		entry_log(&l, i / 2, ENTRY_LOG_USUAL, LOG_EVENT_REQUEST,
+		entry_log(&l, i / 2, ENTRY_LOG_ROUTINE, LOG_EVENT_REQUEST,
 		    LOG_TEXT(LOG_KEY_OUTCOME, "served"));
 		if (i % 10 == 0)
 			entry_log(&l, i / 2, ENTRY_LOG_NEEDED,
--- a/tests/test-explain.c
+++ b/tests/test-explain.c
@@ -117,7 +117,7 @@
 	unsigned int i;
 
 	for (i = 0; i < LOG_EVENTS + LOG_KEYS; i++) {
-		const struct entry_log_word *w =
+		const struct entry_log_description *w =
 		    i < LOG_EVENTS ? &entry_log_events[i]
 				   : &entry_log_keys[i - LOG_EVENTS];
 		g_autofree char *row =
--- a/wire.h
+++ b/wire.h
@@ -157,14 +157,15 @@
 	 * The log of duties (see duty.h). duty_append() appends a claim or a
 	 * renewal with notes (NULL: none) only if the log ends at `at`, then
 	 * calls entry_duty_appended(). duty_look() finds the newest claim and
-	 * notes, then calls entry_duty_looked().
+	 * notes, then calls entry_duty_claim_found().
 	 */
 	void (*duty_append)(
 	    struct source *, uint64_t at, bool claim, const char *notes);
 	void (*duty_look)(struct source *);
-	/* Report a window's counts; then calls entry_duty_reported(). */
+	/* Report a window's counts; then calls entry_duty_usage_reported(). */
 	void (*report_usage)(struct source *, uint64_t window, json_t *counts);
-	/* False: not possible now; else entry_duty_ordered() is called later.
+	/* False: not possible now; else entry_duty_servers_ordered() is called
+	 * later.
 	 */
 	bool (*order_servers)(struct source *, const struct server_order *);
 	/* Decode the text of a configuration; NULL if it is invalid. */
