--- a/entry-duty.c
+++ b/entry-duty.c
@@ -13,9 +13,10 @@
 /* Interval at which coordinators report demand to the holder. */
 #define DUTY_DEMAND_INTERVAL_MS 1000
 /*
- * A window is final once all processes have reported their counts, but not
- * before the first time after its end, and at the latest after the second:
- * counts missing by then belong to nodes that are gone.
+ * The counts of a window become final once all processes have reported theirs,
+ * but not earlier than the minimum after the end of the window, and at the
+ * latest after the maximum: counts missing by then belong to nodes that are
+ * gone.
  */
 #define DUTY_FINALIZE_MIN_MS 400
 #define DUTY_FINALIZE_MAX_MS 3000
@@ -36,7 +37,7 @@
 	json_t *counts;
 	bool saved; /* in the log: all holders report these counts */
 	bool done;  /* reported, or past the deadline for reports */
-	bool in_pending_append; /* included in the pending append */
+	bool in_pending_append;
 };
 
 struct entry_duty {
@@ -45,16 +46,16 @@
 	struct capacity capacity;
 	struct loop_timer timer;
 	bool notes_loaded; /* the previous holder's notes have been read */
-	json_t *needed_before_rewind; /* servers needed, while reclaiming in a
-					 new era */
-	bool lookup_pending;	      /* a lookup is pending */
-	bool core_waits_for_lookup;   /* duty.c waits for the lookup */
-	struct duty_window *windows;  /* usage.nwindows of them */
+	/* Servers needed by service, kept while reclaiming in a new era. */
+	json_t *needed_before_rewind;
+	bool lookup_pending;
+	bool core_waits_for_lookup;  /* duty.c requested it */
+	struct duty_window *windows; /* usage.nwindows of them */
 	bool report_pending;
 	uint64_t report_window; /* window of the pending report */
 	msec next_report, next_demand, next_node_update;
-	unsigned int renewals_until_notes; /* renewals until notes go along */
-	unsigned int orders_pending;	   /* pending */
+	unsigned int renewals_until_notes; /* notes go with the one after */
+	unsigned int orders_pending;
 	msec leaving_since;
 	struct usage_process *processes;
 	unsigned int nprocesses;
--- a/entry-duty.h
+++ b/entry-duty.h
@@ -1,6 +1,6 @@
 /*
- * The glue between an entry node and the duties that only one node at a time
- * performs: duty.c elects the holder, usage.c counts the usage that the holder
+ * Runs the duties that only one entry node at a time performs for all nodes:
+ * duty.c elects the holder, usage.c counts the usage that the holder
  * reports, and capacity.c computes how many backend servers it orders. The
  * source makes the calls to the platform. Nothing runs when the settings
  * configure no duties.
@@ -34,7 +34,8 @@
     struct entry *, name_id from, uint64_t incarnation, const sp_msg *, msec);
 /*
  * Gives up the duty because this node is leaving. Returns false while a call to
- * the platform or an append is pending; the caller retries later.
+ * the platform or an append is pending, for one second at most; the caller
+ * retries later.
  */
 bool entry_duty_leave(struct entry *, msec);
 /*
--- a/entry-era.h
+++ b/entry-era.h
@@ -19,8 +19,8 @@
  */
 enum era_verdict entry_era_observe(struct entry *, uint64_t number, msec);
 /*
- * Returns true if a read sent at time `asked` that found no newer configuration
- * proves that the one in force is the newest.
+ * Returns true if a read sent at time `read_sent_at` that found no newer
+ * configuration proves that the one in force is the newest.
  */
 bool entry_era_proves_newest(const struct entry *, msec read_sent_at);
 /*
--- a/entry-log.h
+++ b/entry-log.h
@@ -13,9 +13,9 @@
 struct entry_log {
 	struct buffer out;
 	int fd;
-	uint64_t lines, dropped;   /* lines written and left out */
-	uint64_t dropped_reported; /* dropped lines reported so far */
-	msec second_start; /* start of the second of `lines_in_second` */
+	uint64_t lines, dropped;	 /* lines written and left out */
+	uint64_t dropped_reported;	 /* dropped lines reported so far */
+	msec second_start;		 /* of the second being counted */
 	unsigned int lines_in_second[2]; /* lines in this second, by priority */
 	char node[NAME_SIZE];
 };
--- a/entry-poison.c
+++ b/entry-poison.c
@@ -55,13 +55,13 @@
 	struct entry *owner;
 	name_id server;
 	char name[SERVER_NAME_SIZE];
-	uint64_t process; /* of the process: server_process_id() */
+	uint64_t process; /* see server_process_id() */
 	uint32_t address;
 	uint16_t port;
 	enum check_state state;
 	unsigned int connections;     /* connections tried */
 	struct loop_timer timer;      /* ends the state */
-	struct loop_timer wait_timer; /* releases the requests that wait */
+	struct loop_timer wait_timer; /* resumes the requests that wait */
 	msec since;
 	GArray *requests; /* struct poison_id: requests it was running */
 };
@@ -372,8 +372,8 @@
 /*
  * Resolves checks of a silent server. If the server is draining, its end was
  * planned; otherwise it is gone or was restarted, so the checked process has
- * ended. The server is matched by name, because `life` has changed already if
- * it was restarted.
+ * ended. The server is matched by name, because `process` has changed already
+ * if it was restarted.
  */
 void
 entry_poison_server_changed(struct entry *e, struct server *v, msec now)
--- a/entry-poison.h
+++ b/entry-poison.h
@@ -36,8 +36,8 @@
 	struct server_checks checks;
 	struct poison_abandoned abandoned[POISON_ABANDONED_MAX];
 	unsigned int next_abandoned;
-	uint64_t servers_checked,
-	    servers_ended; /* checks begun, processes found ended */
+	/* Connections tried to check servers, processes found ended. */
+	uint64_t servers_checked, servers_ended;
 };
 
 void entry_poison_init(struct entry *);
@@ -53,8 +53,9 @@
 bool entry_poison_refuses(const struct job *, msec);
 /*
  * The connection of a request to a server broke: starts a check of the server's
- * process. The request becomes a suspect if the process has ended. Returns true
- * if the request must wait for the result; then job_server_checked() is called.
+ * process. The request becomes a suspect if the process has ended. `waits`: the
+ * request can wait for the result. Returns true if it has to; then
+ * job_checked() is called.
  */
 bool entry_poison_connection_broke(
     struct job *, const struct server *, bool waits, msec);
--- a/entry-settings.c
+++ b/entry-settings.c
@@ -83,7 +83,7 @@
 		settings_log(e, now,
 		    settings_need_restart(e->settings, &s)
 			? "limits applied; names and addresses need a restart"
-			: "applied");
+			: "settings applied");
 		settings_copy_limits(e->settings, &s);
 		entry_state_apply(e);
 		settings_finish(&s);
--- a/entry-start.c
+++ b/entry-start.c
@@ -9,9 +9,9 @@
 #include <string.h>
 
 /*
- * Nodes queried in each round. The queries end after as many answers with a
- * version. Nodes that are starting themselves have none yet and may be queried
- * again in a later round.
+ * Nodes queried in each round. The queries end after this many answers that
+ * contain a version. Nodes that are starting themselves have none yet and may
+ * be queried again in a later round.
  */
 #define START_NODES_PER_ROUND 3
 /* Interval of the rounds; an answer takes a few milliseconds. */
--- a/entry-start.h
+++ b/entry-start.h
@@ -50,7 +50,7 @@
  * deferred already. Takes over the reference.
  */
 void entry_start_defer_table(struct entry *, struct route_table *, msec);
-/* A read sent at time `asked` found no configuration newer than this. */
+/* A read sent at time `read_sent_at` found no configuration newer than this. */
 void entry_start_defer_proof(struct entry *, msec read_sent_at);
 /* Called by the source with the nodes that are registered at the platform. */
 void
