--- a/daemon-admit.c
+++ b/daemon-admit.c
@@ -125,10 +125,10 @@
 	case TICKET_USED:
 		admit_join(d, c, now, false);
 		break;
-	case TICKET_ELSEWHERE:
+	case TICKET_OTHER_NODE:
 		admit_forward(d, c, &t, now);
 		break;
-	case TICKET_DEAD:
+	case TICKET_OLD_INCARNATION:
 	case TICKET_EXPIRED:
 		request_fail_unknown(
 		    &c->request, now, REQUEST_CODE_CLAIM_UNKNOWN);
@@ -136,8 +136,8 @@
 	case TICKET_OTHER_BODY:
 		admit_refuse(c, now, REQUEST_CODE_OTHER_BODY);
 		break;
-	case TICKET_FOREIGN:
-	case TICKET_FORGED:
+	case TICKET_OTHER_ORGANISATION:
+	case TICKET_INVALID:
 		admit_refuse(c, now, REQUEST_CODE_BAD_TICKET);
 		break;
 	}
@@ -221,5 +221,5 @@
 daemon_admit_ended(struct daemon *d, struct call *c)
 {
 	if (c->ticket_taken && c->request.outcome == REQUEST_NOT_RUN)
-		ticket_unuse(&d->tickets, c->ticket);
+		ticket_mark_unused(&d->tickets, c->ticket);
 }
--- a/daemon-core.c
+++ b/daemon-core.c
@@ -156,7 +156,7 @@
 	daemon_placement_tick(d, now);
 	daemon_docs_tick(d, now);
 	join_tick(d->joins, now, d->settings.keep_answers);
-	ticket_book_tick(&d->tickets, now);
+	ticket_registry_tick(&d->tickets, now);
 	daemon_stop_tick(d, now);
 	net_flush(&d->net);
 	return (int)MAX(next - now, 0);
--- a/daemon-ledger.c
+++ b/daemon-ledger.c
@@ -102,7 +102,7 @@
 
 	log_debug("home of shard %u", s->number);
 	ledger_home_init(&s->home, &ledger_ops, s);
-	ledger_home_down(&s->home, s->daemon->log_down);
+	ledger_home_set_log_down(&s->home, s->daemon->log_down);
 	s->active = true;
 	s->gap_told = false;
 	shard_stream(s->number, stream);
@@ -162,7 +162,7 @@
 		/* The entry node repeated its query: end the first one. */
 		if (older->kind == CALL_QUERY)
 			query_answer(
-			    older, LEDGER_UNDECIDED, LEDGER_TOO_OLD, NULL);
+			    older, LEDGER_UNDECIDED, LEDGER_UNDECIDABLE, NULL);
 		call_drop(older);
 	}
 	name->node = claim->node;
@@ -272,7 +272,7 @@
 	json_decref(body);
 	s = &d->ledger->shards[shard];
 	if (!s->active) {
-		query_answer(c, LEDGER_NOT_APPENDED, LEDGER_TOO_OLD, NULL);
+		query_answer(c, LEDGER_NOT_APPENDED, LEDGER_UNDECIDABLE, NULL);
 		return;
 	}
 	if (claim.status == 0)
@@ -306,7 +306,7 @@
 	has_first = claim_from_json(json_object_get(o, "first"), &first);
 	if (answer < 0 || verdict < 0) {
 		answer = f->sent ? LEDGER_UNDECIDED : LEDGER_NOT_APPENDED;
-		verdict = LEDGER_TOO_OLD;
+		verdict = LEDGER_UNDECIDABLE;
 	}
 	ledger_conclude(d, c, now, (enum ledger_answer)answer,
 	    (enum ledger_verdict)verdict, has_first ? &first : NULL);
@@ -393,7 +393,8 @@
 bool
 daemon_ledger_may_run(const struct call *c, msec now)
 {
-	return c->claim.request == 0 || now - c->claimed < LEDGER_RUN_WITHIN;
+	return c->claim.request == 0 ||
+	       now - c->claimed < LEDGER_VERDICT_VALIDITY;
 }
 
 /*
@@ -405,7 +406,7 @@
 {
 	struct ledger_claim end = c->claim;
 
-	end.status = LEDGER_ABANDONED;
+	end.status = LEDGER_WITHDRAWN;
 	claim_send(d, now, c->claim_shard, &end, NULL);
 }
 
@@ -448,7 +449,7 @@
 		return;
 	log_debug_of(LOG_REQUEST, c->id, "%s: its claim is %s, %s", c->id,
 	    answer_names[answer], verdict_names[verdict]);
-	if (answer != LEDGER_JUDGED) {
+	if (answer != LEDGER_DECIDED) {
 		/*
 		 * The call fails for good: a later verdict finds no waiting
 		 * call. An earlier call with the key may have run, so the
@@ -459,19 +460,19 @@
 		return;
 	}
 	switch (verdict) {
-	case LEDGER_OURS:
+	case LEDGER_FIRST:
 		/* No earlier call with the key has run. */
 		c->request.maybe_ran = false;
 		request_go(&c->request, now);
 		break;
-	case LEDGER_LATER:
+	case LEDGER_NOT_FIRST:
 		ledger_later(d, c, now, first);
 		break;
 	case LEDGER_OTHER_BODY:
 		c->request.maybe_ran = false;
 		request_fail(&c->request, now, REQUEST_CODE_OTHER_BODY, 0);
 		break;
-	case LEDGER_TOO_OLD:
+	case LEDGER_UNDECIDABLE:
 		request_fail_unknown(
 		    &c->request, now, REQUEST_CODE_CLAIM_UNKNOWN);
 		break;
@@ -552,7 +553,7 @@
 		for (i = 0; i < LOG_LEDGER_SHARDS; i++) {
 			s = &d->ledger->shards[i];
 			if (s->active)
-				ledger_home_down(
+				ledger_home_set_log_down(
 				    &s->home, e->kind == LOG_EVENT_DOWN);
 		}
 		return false;
--- a/daemon-limits.c
+++ b/daemon-limits.c
@@ -90,7 +90,7 @@
 		tokens = c->slot.max_tokens != 0
 			     ? MIN(c->slot.max_tokens, LIMITS_TOKENS_GUESS)
 			     : LIMITS_TOKENS_GUESS;
-	if (!shares_take(&d->shares, now, c->service, c->organisation, tokens))
+	if (!shares_admit(&d->shares, now, c->service, c->organisation, tokens))
 		return false;
 	c->limited = true;
 	c->limited_tokens = tokens;
@@ -100,7 +100,8 @@
 /*
  * Returns until when a call over the limit is held. A loan from another node
  * arrives within milliseconds; a node that has just started has no share of its
- * own until SHARE_RAISE has passed, and would refuse all calls until then.
+ * own until SHARE_RAISE_DELAY has passed, and would refuse all calls until
+ * then.
  */
 static msec
 limits_hold(const struct daemon *d, msec now)
@@ -178,6 +179,6 @@
 	if (!c->limited)
 		return;
 	c->limited = false;
-	shares_done(&d->shares, now, c->service, c->organisation,
+	shares_request_ended(&d->shares, now, c->service, c->organisation,
 	    c->limited_tokens, c->request.tokens);
 }
--- a/daemon-placement.c
+++ b/daemon-placement.c
@@ -31,7 +31,7 @@
 struct placed_service {
 	TAILQ_ENTRY(placed_service) entry;
 	struct daemon *daemon;
-	struct lease_user user;
+	struct lease_client user;
 	struct placement placement;
 	uint64_t cookie;
 	msec claimable_since; /* MSEC_NEVER: not claimable */
@@ -118,7 +118,7 @@
 		s = g_new0(struct placed_service, 1);
 		s->daemon = d;
 		s->claimable_since = MSEC_NEVER;
-		lease_user_init(
+		lease_client_init(
 		    &s->user, doc->service, d->members.self.id, d->incarnation);
 		placement_init(&s->placement, &placed_ops, doc->service, now);
 		s->placement.arg = s;
@@ -256,7 +256,8 @@
 	char at[ENDPOINT_SIZE], *text;
 	struct fetch *f;
 
-	if (b == NULL || !lease_user_may_order(&s->user, msec_now(), e->fenced))
+	if (b == NULL ||
+	    !lease_client_may_order(&s->user, msec_now(), e->fenced))
 		return false;
 	text = order_text(s, e);
 	log_info_of(LOG_NODE, b->vm.name, "%s: ordered %s", b->vm.name, text);
@@ -291,11 +292,12 @@
 	text = lease_claim_encode(s->user.service, replaces, d->members.self.id,
 	    d->incarnation, LEASE_TERM, id);
 	s->cookie = COOKIE_LEASE | ++d->placement->next_cookie;
-	lease_user_sent(&s->user, now, &d->placement->fold, replaces, id);
+	lease_client_claim_sent(
+	    &s->user, now, &d->placement->fold, replaces, id);
 	daemon_metrics_append(d, METRICS_APPEND_LEASES);
 	if (!log_io_append(d->log, LOG_STREAM_LEASES, text, id,
 		CLAIM_TIMEOUT_MS, s->cookie))
-		lease_user_failed(&s->user);
+		lease_client_claim_failed(&s->user);
 	free(text);
 }
 
@@ -304,7 +306,7 @@
 {
 	uint64_t replaces;
 
-	switch (lease_user_tick(
+	switch (lease_client_tick(
 	    &s->user, now, &s->daemon->placement->fold, &replaces)) {
 	case LEASE_NOTHING:
 		s->claimable_since = MSEC_NEVER;
@@ -376,7 +378,7 @@
 		log_id_make(id);
 		text = lease_release_encode(s->user.service, s->user.fencing,
 		    d->members.self.id, d->incarnation, id);
-		lease_user_release(&s->user);
+		lease_client_release(&s->user);
 		daemon_metrics_append(d, METRICS_APPEND_LEASES);
 		log_io_append(d->log, LOG_STREAM_LEASES, text, id,
 		    CLAIM_TIMEOUT_MS, COOKIE_LEASE);
@@ -402,7 +404,7 @@
 		lease_fold_apply(&dp->fold, now, p->entries[i].offset,
 		    p->entries[i].wall, p->entries[i].data, p->entries[i].len);
 	TAILQ_FOREACH (s, &dp->services, entry)
-		lease_user_folded(&s->user, now, &dp->fold);
+		lease_client_fold_changed(&s->user, now, &dp->fold);
 }
 
 /* True when the event belongs to the lease stream. */
@@ -420,7 +422,7 @@
 	if (e->kind == LOG_EVENT_APPEND_FAILED) {
 		TAILQ_FOREACH (s, &d->placement->services, entry) {
 			if (s->cookie == e->cookie)
-				lease_user_failed(&s->user);
+				lease_client_claim_failed(&s->user);
 		}
 	}
 	return true;
--- a/daemon-query.c
+++ b/daemon-query.c
@@ -287,7 +287,7 @@
 		d->settings.node, "address",
 		query_endpoint(
 		    d->settings.caller.address, d->settings.caller.port),
-		"lifetime_ms", (json_int_t)TICKET_LIFE));
+		"lifetime_ms", (json_int_t)TICKET_LIFETIME));
 }
 
 /* The folded documents, for a node that has not read them from the log yet. */
--- a/daemon.h
+++ b/daemon.h
@@ -373,7 +373,7 @@
 	struct join_table *joins;
 	struct daemon_ledger *ledger;
 	struct daemon_placement *placement;
-	struct ticket_book tickets;
+	struct ticket_registry tickets;
 	bool stopping; /* the loop ends */
 };
 
--- a/duty.c
+++ b/duty.c
@@ -14,11 +14,11 @@
 /* Renewals per lease; two in a row may fail. */
 #define DUTY_RENEWALS 3
 /* For clocks of VMs that run at different rates, and for orders in transit. */
-#define DUTY_MARGIN_MS 300
+#define DUTY_CLOCK_MARGIN_MS 300
 /* Delay between successors, so that not all of them claim at once. */
-#define DUTY_TURN_MS 300
+#define DUTY_RANK_DELAY_MS 300
 /* A node that starts has learnt of the other nodes and of a holder by then. */
-#define DUTY_START_MS 1500
+#define DUTY_DISCOVERY_MS 1500
 /* Delay after an append or search without an answer. */
 #define DUTY_RETRY_MS 400
 #define DUTY_TICK_MS 100
@@ -31,7 +31,7 @@
 		.self = self,
 		.lease = lease,
 		.started = now,
-		.end_at = MSEC_NEVER,
+		.end_known_at = MSEC_NEVER,
 		.ticked = now };
 }
 
@@ -88,7 +88,7 @@
  * nodes, each by weight. UINT64_MAX: not a successor.
  */
 static uint64_t
-duty_order(const struct duty *d, const struct duty_node *n)
+duty_sort_key(const struct duty *d, const struct duty_node *n)
 {
 	if (!n->takes_work || n->id == d->holder)
 		return UINT64_MAX;
@@ -98,30 +98,31 @@
 
 /* Number of successors before the local node. */
 static unsigned int
-duty_turn(const struct duty *d)
+duty_rank(const struct duty *d)
 {
 	const struct duty_node *own = duty_node_find(d, d->self);
 	unsigned int i, before = 0;
 
 	for (i = 0; own != NULL && i < d->nnodes; i++)
-		before += duty_order(d, &d->nodes[i]) < duty_order(d, own);
+		before +=
+		    duty_sort_key(d, &d->nodes[i]) < duty_sort_key(d, own);
 	return before;
 }
 
 unsigned int
-duty_first(const struct duty *d, name_id *first, unsigned int most)
+duty_list_candidates(const struct duty *d, name_id *first, unsigned int max)
 {
 	const struct duty_node *holder = duty_node_find(d, d->holder);
 	uint64_t after = 0, order, best;
 	unsigned int i, n = 0;
 	name_id id = 0;
 
-	if (holder != NULL && most > 0)
+	if (holder != NULL && max > 0)
 		first[n++] = holder->id;
-	while (n < most) {
+	while (n < max) {
 		best = UINT64_MAX;
 		for (i = 0; i < d->nnodes; i++) {
-			order = duty_order(d, &d->nodes[i]);
+			order = duty_sort_key(d, &d->nodes[i]);
 			if (order <= after || order >= best)
 				continue;
 			best = order;
@@ -148,7 +149,7 @@
  * used come later; nodes younger than a lease come last.
  */
 static name_id
-duty_pick(const struct duty *d, unsigned int have)
+duty_choose_standby(const struct duty *d, unsigned int nchosen)
 {
 	const struct duty_node *own = duty_node_find(d, d->self), *n, *o;
 	uint64_t weight, least = UINT64_MAX;
@@ -162,9 +163,9 @@
 		weight = duty_weight(n->id) >> 2;
 		if (own != NULL && n->domain == own->domain)
 			weight |= 1ULL << 62;
-		if (n->age >= 0 && n->age < d->lease + DUTY_MARGIN_MS)
+		if (n->age >= 0 && n->age < d->lease + DUTY_CLOCK_MARGIN_MS)
 			weight |= 1ULL << 63;
-		for (j = 0; j < have; j++) {
+		for (j = 0; j < nchosen; j++) {
 			o = duty_node_find(d, d->standbys[j]);
 			if (o != NULL && n->domain == o->domain)
 				weight |= 1ULL << 62;
@@ -180,13 +181,13 @@
 }
 
 static void
-duty_pick_standbys(struct duty *d)
+duty_choose_standbys(struct duty *d)
 {
 	unsigned int i;
 
 	memset(d->standbys, 0, sizeof d->standbys);
 	for (i = 0; i < DUTY_STANDBYS; i++)
-		d->standbys[i] = duty_pick(d, i);
+		d->standbys[i] = duty_choose_standby(d, i);
 }
 
 /* ---- holder ---- */
@@ -198,14 +199,14 @@
 }
 
 static void
-duty_lose(struct duty *d, msec now)
+duty_step_down(struct duty *d, msec now)
 {
 	bool held = d->token != 0;
 
 	d->token = 0;
 	d->holder = 0;
-	d->stood_down = now + d->lease + DUTY_MARGIN_MS;
-	d->end_at = now;
+	d->no_claim_before = now + d->lease + DUTY_CLOCK_MARGIN_MS;
+	d->end_known_at = now;
 	d->released = false;
 	if (!held)
 		return;
@@ -214,9 +215,9 @@
 }
 
 void
-duty_refused(struct duty *d, msec now)
+duty_token_refused(struct duty *d, msec now)
 {
-	duty_lose(d, now);
+	duty_step_down(d, now);
 }
 
 void
@@ -226,13 +227,13 @@
 }
 
 bool
-duty_reclaims(const struct duty *d, msec now)
+duty_may_reclaim(const struct duty *d, msec now)
 {
 	return !d->leaving && now < d->reclaim_until;
 }
 
 void
-duty_rewound(struct duty *d, msec now, uint64_t era)
+duty_log_rolled_back(struct duty *d, msec now, uint64_t era)
 {
 	bool held = d->token != 0;
 
@@ -243,12 +244,12 @@
 	d->token = 0;
 	d->holder = 0;
 	d->end = 0;
-	d->end_at = now;
+	d->end_known_at = now;
 	d->released = false;
 	d->next = now;
 	if (!held)
 		return;
-	d->counters.rewound++;
+	d->counters.rolled_back++;
 	d->ops->changed(d, now, false);
 }
 
@@ -292,16 +293,16 @@
 }
 
 static void
-duty_taken(struct duty *d, msec now, uint64_t at, uint64_t end)
+duty_append_accepted(struct duty *d, msec now, uint64_t at, uint64_t end)
 {
-	bool begins = d->token == 0;
+	bool is_claim = d->token == 0;
 
 	d->end = end;
-	d->end_at = now;
+	d->end_known_at = now;
 	d->released = false;
 	d->until = d->sent_at + d->lease;
-	d->lapsed = false;
-	if (begins) {
+	d->expired = false;
+	if (is_claim) {
 		d->continues = d->sent_at < d->reclaim_until;
 		d->reclaim_until = 0;
 		d->token = era_token(d->era, at);
@@ -309,13 +310,13 @@
 		d->holder = d->self;
 		d->ops->changed(d, now, true);
 	}
-	duty_pick_standbys(d);
-	d->next_beat = now;
+	duty_choose_standbys(d);
+	d->next_heartbeat = now;
 }
 
 void
-duty_appended(
-    struct duty *d, msec now, enum duty_result how, uint64_t at, uint64_t end)
+duty_appended(struct duty *d, msec now, enum duty_result outcome, uint64_t at,
+    uint64_t end)
 {
 	if (!d->pending)
 		return;
@@ -324,14 +325,14 @@
 	 * This node began to leave while the append was in progress: it must
 	 * not become the holder again.
 	 */
-	if (how == DUTY_TAKEN && d->leaving && d->token == 0)
-		how = DUTY_UNKNOWN;
+	if (outcome == DUTY_ACCEPTED && d->leaving && d->token == 0)
+		outcome = DUTY_UNKNOWN;
 	/* The append was conditional on the log's end before the rollback. */
-	if (how == DUTY_TAKEN && d->sent_era != d->era)
-		how = DUTY_REFUSED;
-	switch (how) {
-	case DUTY_TAKEN:
-		duty_taken(d, now, at, end);
+	if (outcome == DUTY_ACCEPTED && d->sent_era != d->era)
+		outcome = DUTY_REFUSED;
+	switch (outcome) {
+	case DUTY_ACCEPTED:
+		duty_append_accepted(d, now, at, end);
 		return;
 	case DUTY_UNKNOWN:
 		d->counters.unknown++;
@@ -342,9 +343,9 @@
 	}
 	d->counters.refused++;
 	d->end = end;
-	d->end_at = now;
+	d->end_known_at = now;
 	d->released = false;
-	if (duty_reclaims(d, now))
+	if (duty_may_reclaim(d, now))
 		d->next = now;
 	if (d->token == 0)
 		return;
@@ -353,11 +354,12 @@
 	 * or another node has claimed.
 	 */
 	d->pending = true;
-	d->ops->look(d);
+	d->ops->find_claim(d);
 }
 
 void
-duty_looked(struct duty *d, msec now, bool ok, uint64_t claim, uint64_t end)
+duty_claim_found(
+    struct duty *d, msec now, bool ok, uint64_t claim, uint64_t end)
 {
 	d->pending = false;
 	if (!ok) {
@@ -365,10 +367,10 @@
 		return;
 	}
 	d->end = end;
-	d->end_at = now;
+	d->end_known_at = now;
 	if (d->token != 0 && !duty_is_claim(d, claim)) {
 		d->token_seen = MAX(d->token_seen, era_token(d->era, claim));
-		duty_lose(d, now);
+		duty_step_down(d, now);
 	}
 	d->next = now;
 }
@@ -389,7 +391,7 @@
 	/* While an append is in progress the log's end is unknown. */
 	if (!d->pending && now < d->until)
 		duty_beat(d, d->standbys[0]);
-	duty_lose(d, now);
+	duty_step_down(d, now);
 }
 
 /* ---- other nodes ---- */
@@ -398,28 +400,28 @@
 static msec
 duty_claim_at(const struct duty *d)
 {
-	msec turn = (msec)duty_turn(d) * DUTY_TURN_MS, at;
+	msec turn = (msec)duty_rank(d) * DUTY_RANK_DELAY_MS, at;
 
 	/* A log that was rolled back may be empty while a lease still runs. */
-	if (d->end_at == MSEC_NEVER && d->era != 0)
-		at = d->started + d->lease + DUTY_MARGIN_MS + turn;
-	else if (d->end_at == MSEC_NEVER)
-		at = d->started + DUTY_START_MS + turn;
+	if (d->end_known_at == MSEC_NEVER && d->era != 0)
+		at = d->started + d->lease + DUTY_CLOCK_MARGIN_MS + turn;
+	else if (d->end_known_at == MSEC_NEVER)
+		at = d->started + DUTY_DISCOVERY_MS + turn;
 	/*
 	 * The duty must not return at once to the node that released it, also
 	 * when its process has restarted.
 	 */
 	else if (d->released)
-		at = MAX(d->end_at + turn, d->started + d->lease);
+		at = MAX(d->end_known_at + turn, d->started + d->lease);
 	else
-		at = d->end_at + d->lease + DUTY_MARGIN_MS + turn;
-	return MAX(MAX(at, d->stood_down), d->next);
+		at = d->end_known_at + d->lease + DUTY_CLOCK_MARGIN_MS + turn;
+	return MAX(MAX(at, d->no_claim_before), d->next);
 }
 
 static void
-duty_watch(struct duty *d, msec now)
+duty_try_claim(struct duty *d, msec now)
 {
-	msec at = duty_reclaims(d, now) ? d->next : duty_claim_at(d);
+	msec at = duty_may_reclaim(d, now) ? d->next : duty_claim_at(d);
 
 	if (d->leaving || d->pending || !duty_takes_work(d) || now < at)
 		return;
@@ -427,11 +429,11 @@
 	 * If the end is unknown, append at 0: that succeeds in an empty log,
 	 * and a refusal reports the end.
 	 */
-	duty_append(d, now, d->end_at == MSEC_NEVER ? 0 : d->end, true);
+	duty_append(d, now, d->end_known_at == MSEC_NEVER ? 0 : d->end, true);
 }
 
 static bool
-beat_is_valid(const sp_duty_beat *b)
+heartbeat_is_valid(const sp_duty_beat *b)
 {
 	return b->token > 0 && b->end >= era_token_end(b->token);
 }
@@ -442,7 +444,7 @@
 	const sp_duty_beat *b = &msg->sp_msg_u.duty_beat;
 	unsigned int i;
 
-	if (!beat_is_valid(b) || from == d->self) {
+	if (!heartbeat_is_valid(b) || from == d->self) {
 		d->counters.dropped++;
 		return;
 	}
@@ -451,33 +453,33 @@
 	    (b->token == d->token_seen && b->end < d->end))
 		return;
 	if (d->token != 0)
-		duty_lose(d, now);
+		duty_step_down(d, now);
 	d->token_seen = b->token;
 	d->holder = b->hand_over != 0 ? 0 : from;
 	d->end = b->end;
-	d->end_at = now;
+	d->end_known_at = now;
 	d->released = b->hand_over != 0;
 	for (i = 0; i < DUTY_STANDBYS; i++)
 		d->standbys[i] = i < b->standbys.standbys_len
 				     ? b->standbys.standbys_val[i]
 				     : 0;
 	if (b->hand_over == d->self)
-		duty_watch(d, now);
+		duty_try_claim(d, now);
 }
 
 static void
-duty_hold(struct duty *d, msec now)
+duty_tick_holder(struct duty *d, msec now)
 {
-	if (now >= d->until && !d->lapsed) {
-		d->lapsed = true;
-		d->counters.lapsed++;
+	if (now >= d->until && !d->expired) {
+		d->expired = true;
+		d->counters.expired++;
 	}
 	if (!d->pending && now >= d->next)
 		duty_append(d, now, d->end, false);
 	/* After its lease expires it sends no heartbeat, so others take over.
 	 */
-	if (now >= d->next_beat && now < d->until) {
-		d->next_beat = now + d->lease / DUTY_RENEWALS;
+	if (now >= d->next_heartbeat && now < d->until) {
+		d->next_heartbeat = now + d->lease / DUTY_RENEWALS;
 		duty_beat(d, 0);
 	}
 }
@@ -486,11 +488,11 @@
 duty_tick(struct duty *d, msec now)
 {
 	if (d->holder == 0 || (d->holder == d->self && now >= d->until))
-		d->counters.without += now - d->ticked;
+		d->counters.ms_without_holder += now - d->ticked;
 	d->ticked = now;
 	if (d->token != 0)
-		duty_hold(d, now);
+		duty_tick_holder(d, now);
 	else
-		duty_watch(d, now);
+		duty_try_claim(d, now);
 	return now + DUTY_TICK_MS;
 }
--- a/duty.h
+++ b/duty.h
@@ -34,8 +34,8 @@
 
 /* Outcome of a conditional append. */
 enum duty_result {
-	DUTY_TAKEN,   /* its first record is at the expected offset */
-	DUTY_REFUSED, /* the log ends elsewhere; nothing was appended */
+	DUTY_ACCEPTED, /* its first record is at the expected offset */
+	DUTY_REFUSED,  /* the log ends elsewhere; nothing was appended */
 	DUTY_UNKNOWN /* no answer: the append may have succeeded or may still do
 			so */
 };
@@ -44,8 +44,8 @@
 struct duty_ops {
 	/* Append if the log ends at `at`; report by duty_appended(). */
 	void (*append)(struct duty *, uint64_t at, bool claim);
-	/* Find the newest claim in the log; report by duty_looked(). */
-	void (*look)(struct duty *);
+	/* Find the newest claim in the log; report by duty_claim_found(). */
+	void (*find_claim)(struct duty *);
 	/* Send a message to a node; it may be lost. */
 	void (*send)(struct duty *, name_id, const sp_msg *);
 	/* The local node has become the holder, or has ceased to be. */
@@ -64,11 +64,11 @@
 struct duty_counters {
 	uint64_t claims, renewals, refused, unknown;
 	uint64_t lost;	  /* another node took over, or the token was refused */
-	uint64_t lapsed;  /* the lease expired before a renewal */
-	uint64_t rewound; /* the log was rolled back while this node was the
+	uint64_t expired; /* the lease expired before a renewal */
+	uint64_t rolled_back; /* the log was rolled back while this node was the
 			     holder */
-	uint64_t dropped; /* invalid messages */
-	msec without;	  /* ms without a known holder */
+	uint64_t dropped;     /* invalid messages */
+	msec ms_without_holder; /* ms without a known holder */
 };
 
 /* State of the election on the local node; allocated by the caller. */
@@ -84,7 +84,7 @@
 	uint64_t token_seen; /* greatest token seen */
 	uint64_t era;	     /* of the log */
 	uint64_t end;	     /* end offset of the log */
-	msec end_at;	     /* when `end` was learnt; MSEC_NEVER: never */
+	msec end_known_at;   /* when `end` was learnt; MSEC_NEVER: never */
 	bool released;	     /* the holder has released the duty at `end` */
 	name_id standbys[DUTY_STANDBYS];
 	/* State of the local node. */
@@ -100,11 +100,11 @@
 	bool pending; /* an append or a search for the newest claim runs */
 	msec sent_at; /* time of the newest append */
 	uint64_t sent_end;
-	uint64_t sent_era; /* era of the log when it was sent */
-	msec next;	   /* earliest time of the next append */
-	msec next_beat;	   /* next heartbeat, as the holder */
-	msec stood_down;   /* makes no claim before this time */
-	bool lapsed;
+	uint64_t sent_era;    /* era of the log when it was sent */
+	msec next;	      /* earliest time of the next append */
+	msec next_heartbeat;  /* next heartbeat, as the holder */
+	msec no_claim_before; /* makes no claim before this time */
+	bool expired;
 	msec ticked;
 	struct duty_counters counters;
 	void *arg; /* for the caller's use */
@@ -120,30 +120,32 @@
  * Write the holder, if one is known, and its successors in their order, at most
  * so many ids. Returns the number written.
  */
-unsigned int duty_first(const struct duty *, name_id *, unsigned int most);
+unsigned int
+duty_list_candidates(const struct duty *, name_id *, unsigned int most);
 /* Handle an SP_DUTY_BEAT message from a member. */
 void duty_receive(struct duty *, msec, name_id from, const sp_msg *);
 /*
- * Report the outcome of an append. DUTY_TAKEN: the offset of its first record
- * and the log's end after the last one. DUTY_REFUSED: the log's end.
+ * Report the outcome of an append. DUTY_ACCEPTED: the offset of its first
+ * record and the log's end after the last one. DUTY_REFUSED: the log's end.
  */
 void
 duty_appended(struct duty *, msec, enum duty_result, uint64_t at, uint64_t end);
 /* Report the newest claim's offset and the log's end; !ok: no answer. */
-void duty_looked(struct duty *, msec, bool ok, uint64_t claim, uint64_t end);
+void
+duty_claim_found(struct duty *, msec, bool ok, uint64_t claim, uint64_t end);
 /* Set the era of the log, as of the first answer. */
 void duty_set_era(struct duty *, uint64_t era);
 /*
  * The log was rolled back and has a new era, so the local node's token is
- * invalid. Calls changed() if this node was the holder; duty_reclaims() then
+ * invalid. Calls changed() if this node was the holder; duty_may_reclaim() then
  * returns whether it will claim again before its lease expires.
  */
-void duty_rewound(struct duty *, msec, uint64_t era);
-bool duty_reclaims(const struct duty *, msec);
+void duty_log_rolled_back(struct duty *, msec, uint64_t era);
+bool duty_may_reclaim(const struct duty *, msec);
 /* Is the claim at this offset, the newest in the log, the local node's? */
 bool duty_is_claim(const struct duty *, uint64_t claim);
 /* The platform has seen a greater token than the local node's. */
-void duty_refused(struct duty *, msec);
+void duty_token_refused(struct duty *, msec);
 /*
  * The fencing token to use now, or 0 if the local node has no valid lease. Call
  * this right before each send, with the current time.
--- a/entry-attempt.c
+++ b/entry-attempt.c
@@ -269,7 +269,7 @@
 	}
 	if (job_send(j, now, v))
 		return;
-	poison_end(&j->owner->poison.core, now, &j->run, false);
+	poison_run_end(&j->owner->poison.core, now, &j->run, false);
 	place_end(p, now, r, SERVER_DOWN);
 	j->last = JOB_UNREACHABLE;
 	if (j->ntried == SERVER_AVOID_MAX)
@@ -482,7 +482,7 @@
 	}
 	job_count_run(j);
 	job_began_to_run(j, now);
-	poison_served(&j->owner->poison.core, now, j->fingerprint);
+	poison_answered(&j->owner->poison.core, now, j->fingerprint);
 	if (j->server_error && j->repeatable) {
 		job_release_server(j, now, SERVER_ANSWERED);
 		job_retry_or_fail(j, now, JOB_SERVER_ERROR);
@@ -544,7 +544,8 @@
 
 	j->link = NULL;
 	j->refused_by_server = false;
-	poison_end(&j->owner->poison.core, now, &j->run, how == LINK_BROKEN);
+	poison_run_end(
+	    &j->owner->poison.core, now, &j->run, how == LINK_BROKEN);
 	job_release_server(j, now, attempt_server_result(k, how, now));
 	if (k->connect_refused)
 		entry_poison_connection_refused(k->owner, k->server, now);
--- a/entry-duty.c
+++ b/entry-duty.c
@@ -394,14 +394,14 @@
 	x->renewals_until_notes = 0;
 	if (holds && d->continues && x->needed_before_rewind != NULL)
 		duty_resume(e, now);
-	else if (!holds && duty_reclaims(d, now))
+	else if (!holds && duty_may_reclaim(d, now))
 		duty_keep_needed(e, now);
 	else
 		duty_discard_state(x, now);
 	entry_log(&e->log, now, ENTRY_LOG_NEEDED, LOG_EVENT_DUTY,
 	    LOG_TEXT(LOG_KEY_STATE, holds ? "held" : "not held"),
 	    LOG_NUMBER(LOG_KEY_TOKEN, d->token),
-	    LOG_NUMBER(LOG_KEY_MS, d->counters.without));
+	    LOG_NUMBER(LOG_KEY_MS, d->counters.ms_without_holder));
 }
 
 static const struct duty_ops entry_duty_ops = { duty_op_append, duty_op_look,
@@ -465,7 +465,7 @@
 	for (i = 0; i < x->usage.nwindows; i++) {
 		x->windows[i].saved =
 		    x->windows[i].saved ||
-		    (x->windows[i].in_pending_append && how == DUTY_TAKEN);
+		    (x->windows[i].in_pending_append && how == DUTY_ACCEPTED);
 		x->windows[i].in_pending_append = false;
 	}
 	duty_appended(&x->duty, now, how, at, end);
@@ -480,7 +480,7 @@
 
 	x->lookup_pending = x->core_waits_for_lookup = false;
 	if (core)
-		duty_looked(&x->duty, now, ok, claim, end);
+		duty_claim_found(&x->duty, now, ok, claim, end);
 	/* The newest claim may be another node's. */
 	if (!ok || x->notes_loaded || !duty_is_claim(&x->duty, claim))
 		return;
@@ -508,7 +508,7 @@
 	    LOG_NUMBER(LOG_KEY_TOKEN, x->duty.token));
 	if (how == DUTY_CALL_FENCED) {
 		x->fenced++;
-		duty_refused(&x->duty, now);
+		duty_token_refused(&x->duty, now);
 		return;
 	}
 	if (!w->used || w->number != x->report_window)
@@ -550,7 +550,7 @@
 	if (how != DUTY_CALL_FENCED)
 		return;
 	x->fenced++;
-	duty_refused(&x->duty, now);
+	duty_token_refused(&x->duty, now);
 }
 
 uint64_t
@@ -570,7 +570,7 @@
 entry_duty_log_rewound(struct entry *e, msec now)
 {
 	if (e->duty != NULL)
-		duty_rewound(&e->duty->duty, now, e->era.number);
+		duty_log_rolled_back(&e->duty->duty, now, e->era.number);
 }
 
 /* ---- messages from other nodes, counting, configuration ---- */
@@ -674,7 +674,7 @@
 	name_id keepers[DUTY_STANDBYS + 1];
 	unsigned int n;
 
-	n = duty_first(&x->duty, keepers, G_N_ELEMENTS(keepers));
+	n = duty_list_candidates(&x->duty, keepers, G_N_ELEMENTS(keepers));
 	usage_set_keepers(&x->usage, e->loop.now, keepers, n);
 }
 
@@ -887,7 +887,7 @@
 	metric(s, "duty_renewals_total", x->duty.counters.renewals);
 	metric(s, "duty_lost_total", x->duty.counters.lost);
 	metric(s, "duty_without_holder_ms_total",
-	    (uint64_t)x->duty.counters.without);
+	    (uint64_t)x->duty.counters.ms_without_holder);
 	metric(s, "duty_fenced_total", x->fenced);
 	metric(s, "duty_messages_dropped_total",
 	    x->duty.counters.dropped + x->usage.counters.dropped +
--- a/entry-era.c
+++ b/entry-era.c
@@ -60,18 +60,18 @@
 enum era_verdict
 entry_era_observe(struct entry *e, uint64_t number, msec now)
 {
-	bool first = !e->era.heard;
-	enum era_verdict verdict = era_heard(&e->era, now, number);
+	bool first = !e->era.has_answer;
+	enum era_verdict verdict = era_check_answer(&e->era, now, number);
 
 	switch (verdict) {
-	case ERA_SAME:
+	case ERA_CURRENT:
 		if (first)
 			entry_era_first_seen(e, now);
 		break;
-	case ERA_ROSE:
+	case ERA_INCREASED:
 		entry_era_changed(e, now);
 		break;
-	case ERA_OLD:
+	case ERA_OUTDATED:
 		entry_log(&e->log, now, ENTRY_LOG_ROUTINE, LOG_EVENT_ERA,
 		    LOG_TEXT(LOG_KEY_STATE, number == 0 ? "not named" : "over"),
 		    LOG_NUMBER(LOG_KEY_ERA, number));
@@ -99,7 +99,7 @@
 
 	if (e->era.number == 0)
 		return true;
-	return (era_settled(&e->era, read_sent_at, e->settings->rewrite) ||
+	return (era_is_settled(&e->era, read_sent_at, e->settings->rewrite) ||
 		   entry_era_assumed_settled(e)) &&
 	       e->table->version >= newest;
 }
@@ -109,7 +109,7 @@
 {
 	if (number != e->era.number || entry_era_settled(e, now) != 0)
 		return;
-	era_told(&e->era, now, number, (uint32_t)e->settings->rewrite);
+	era_set_min_age(&e->era, now, number, (uint32_t)e->settings->rewrite);
 	/* Reads sent before this point prove nothing: read again. */
 	e->source->ops->read(e->source, RELAY_CONFIGURATION);
 }
@@ -117,8 +117,9 @@
 uint64_t
 entry_era_settled(const struct entry *e, msec now)
 {
-	return era_settled(&e->era, now, e->settings->rewrite) ? e->era.number
-							       : 0;
+	return era_is_settled(&e->era, now, e->settings->rewrite)
+		   ? e->era.number
+		   : 0;
 }
 
 /*
@@ -141,7 +142,7 @@
 uint64_t
 entry_era_mark(const struct entry *e, uint64_t mark)
 {
-	return era_mark(&e->era, mark);
+	return era_mix_mark(&e->era, mark);
 }
 
 void
@@ -170,8 +171,8 @@
 	    "an era, not believed.\n"
 	    "# TYPE savory_entry_store_unnamed_answers_total counter\n"
 	    "savory_entry_store_unnamed_answers_total %" PRIu64 "\n",
-	    e->era.number, era_settled(&e->era, now, e->settings->rewrite),
-	    c->changes, c->old, c->unnamed);
+	    e->era.number, era_is_settled(&e->era, now, e->settings->rewrite),
+	    c->changes, c->old, c->without_era);
 }
 
 void
@@ -183,7 +184,7 @@
 	    "store era %" PRIu64 " age-ms %" PRId64 " settled %s changes "
 	    "%" PRIu64 " newest-heard %" PRIu64 "\n",
 	    e->era.number, now - e->era.since,
-	    era_settled(&e->era, now, e->settings->rewrite) ? "yes" : "no",
+	    era_is_settled(&e->era, now, e->settings->rewrite) ? "yes" : "no",
 	    e->era.counters.changes,
 	    MAX(members_newest_version(&e->members), e->start.version));
 }
--- a/entry-job.c
+++ b/entry-job.c
@@ -108,7 +108,7 @@
 	loop_timer_stop(&j->owner->loop, &j->silence_timer);
 	place_end(&j->owner->place, now, &j->place, how);
 	j->server = NULL;
-	poison_end(&j->owner->poison.core, now, &j->run, false);
+	poison_run_end(&j->owner->poison.core, now, &j->run, false);
 }
 
 void
@@ -185,7 +185,7 @@
 		after = MAX(servers_rate_wait(&j->owner->servers, j->service),
 		    JOB_RETRY_AFTER_MS);
 	else if (code == JOB_POISON)
-		after = MAX(poison_trial_in(&j->owner->poison.core,
+		after = MAX(poison_trial_delay(&j->owner->poison.core,
 				j->owner->loop.now, j->fingerprint),
 		    JOB_RETRY_UNAVAILABLE_MS);
 	else if (code == JOB_LEAVING || code == JOB_STOPPED)
@@ -248,7 +248,7 @@
 	 * a key are refused. An unknown key is not rejected as such either, as
 	 * it may have been issued since.
 	 */
-	if (!fresh_holds(&e->fresh, now))
+	if (!fresh_is_valid(&e->fresh, now))
 		return JOB_NOT_FRESH;
 	return j->organisation == NULL ? JOB_NO_KEY : JOB_SERVED;
 }
--- a/entry-metrics.c
+++ b/entry-metrics.c
@@ -417,7 +417,7 @@
 	    e->settings->node, e->settings->domain, phases[e->phase],
 	    entry_is_ready(e, now) ? "yes" : "no",
 	    e->table != NULL ? e->table->version : 0,
-	    e->fresh.proven == MSEC_NEVER ? -1 : now - e->fresh.proven);
+	    e->fresh.proof_at == MSEC_NEVER ? -1 : now - e->fresh.proof_at);
 	entry_era_dump(e, s, now);
 	dump_servers(s, e, now);
 	dump_kinds(s, e);
--- a/entry-poison.c
+++ b/entry-poison.c
@@ -106,7 +106,7 @@
 	/* Start over each time: resuming one job may end others. */
 	while ((j = check_find_waiting_job(c)) != NULL) {
 		j->check = NULL;
-		poison_settled(&e->poison.core, now, j->fingerprint);
+		poison_server_checked(&e->poison.core, now, j->fingerprint);
 		job_server_checked(j, now);
 	}
 }
@@ -160,7 +160,7 @@
 		    LOG_NUMBER(LOG_KEY_REQUESTS, requests->len),
 		    LOG_NUMBER(LOG_KEY_MS, now - c->since));
 	for (i = 0; i < requests->len; i++)
-		poison_ended(&e->poison.core, now,
+		poison_server_ended(&e->poison.core, now,
 		    g_array_index(requests, struct poison_id, i), c->process);
 	check_resume_requests(c, now);
 }
@@ -326,7 +326,8 @@
 		return false;
 	c = check_find(e, server_process_id(v));
 	if (c != NULL && c->state == CHECK_ENDED) {
-		poison_ended(&e->poison.core, now, j->fingerprint, c->process);
+		poison_server_ended(
+		    &e->poison.core, now, j->fingerprint, c->process);
 		return false;
 	}
 	if (c == NULL) {
@@ -401,13 +402,13 @@
 	j->run.id = j->fingerprint;
 	j->run.arg = j;
 	v = poison_ask(&e->poison.core, now, &j->run);
-	if (v == POISON_GO)
+	if (v == POISON_SEND)
 		return true;
 	entry_log(&e->log, now, ENTRY_LOG_NEEDED, LOG_EVENT_SUSPECT,
 	    LOG_TEXT(LOG_KEY_REQUEST, j->request.id),
 	    LOG_TEXT(LOG_KEY_OUTCOME, poison_verdict_name(v)),
-	    LOG_NUMBER(
-		LOG_KEY_ENDS, poison_ends(&e->poison.core, j->fingerprint)));
+	    LOG_NUMBER(LOG_KEY_ENDS,
+		poison_count_ends(&e->poison.core, j->fingerprint)));
 	if (v != POISON_WAIT)
 		job_fail(j, now, JOB_POISON);
 	else
@@ -441,8 +442,8 @@
 	entry_log(&j->owner->log, now, ENTRY_LOG_NEEDED, LOG_EVENT_SUSPECT,
 	    LOG_TEXT(LOG_KEY_REQUEST, j->request.id),
 	    LOG_TEXT(LOG_KEY_OUTCOME, poison_verdict_name(v)),
-	    LOG_NUMBER(LOG_KEY_ENDS, poison_ends(p, j->fingerprint)));
-	if (v == POISON_GO)
+	    LOG_NUMBER(LOG_KEY_ENDS, poison_count_ends(p, j->fingerprint)));
+	if (v == POISON_SEND)
 		job_attempt(j, now);
 	else
 		job_fail(j, now, JOB_POISON);
@@ -477,7 +478,7 @@
 	poison_id_print(id, fingerprint);
 	entry_log(&e->log, now, ENTRY_LOG_NEEDED, LOG_EVENT_CONDEMNED,
 	    LOG_TEXT(LOG_KEY_SAME, fingerprint),
-	    LOG_NUMBER(LOG_KEY_ENDS, poison_ends(p, id)));
+	    LOG_NUMBER(LOG_KEY_ENDS, poison_count_ends(p, id)));
 	while ((j = poison_find_unanswered(e, id)) != NULL) {
 		j->may_have_run |= j->link->sent;
 		job_fail(j, now, JOB_POISON);
@@ -573,9 +574,9 @@
 	metric(s, "poison_refused_total", "counter", c->refused);
 	metric(s, "poison_held_total", "counter", c->held);
 	metric(s, "poison_asked_total", "counter", c->asked);
-	metric(s, "poison_alone_total", "counter", c->alone);
+	metric(s, "poison_alone_total", "counter", c->decided_alone);
 	metric(s, "poison_trials_total", "counter", c->trials);
-	metric(s, "poison_told_total", "counter", c->told);
+	metric(s, "poison_told_total", "counter", c->records_sent);
 	metric(s, "poison_dropped_total", "counter", c->dropped);
 }
 
--- a/entry-relay.c
+++ b/entry-relay.c
@@ -57,7 +57,7 @@
 entry_relay_proven(struct relay *r, enum relay_subject s, msec then)
 {
 	if (s == RELAY_CONFIGURATION)
-		fresh_prove(&entry_of_relay(r)->fresh, then);
+		fresh_record_proof(&entry_of_relay(r)->fresh, then);
 }
 
 static void
@@ -231,7 +231,7 @@
 		relay_read_unusable(&e->relay, RELAY_CONFIGURATION, asked);
 		return;
 	}
-	fresh_prove(&e->fresh, asked);
+	fresh_record_proof(&e->fresh, asked);
 	relay_read_succeeded(&e->relay, e->loop.now, RELAY_CONFIGURATION,
 	    entry_era_mark(e, e->table->version), asked);
 }
--- a/entry-start.c
+++ b/entry-start.c
@@ -213,7 +213,7 @@
 	first = g_hash_table_add(s->responders, g_memdup2(&from, sizeof from));
 	s->informed += first && t->newest_version > 0;
 	s->version = MAX(s->version, t->newest_version);
-	era_told(&e->era, now, t->era, t->era_age_ms);
+	era_set_min_age(&e->era, now, t->era, t->era_age_ms);
 	if (s->querying && start_has_enough_answers(s))
 		start_complete(e, now);
 }
--- a/entry-state.c
+++ b/entry-state.c
@@ -299,7 +299,7 @@
 {
 	if (e->phase != ENTRY_SERVING || e->table == NULL)
 		return false;
-	return !e->table->keyed || fresh_holds(&e->fresh, now);
+	return !e->table->keyed || fresh_is_valid(&e->fresh, now);
 }
 
 /* ---- start, timer, stop ---- */
--- a/era.c
+++ b/era.c
@@ -21,38 +21,38 @@
 era_begin(struct era *a, msec now, uint64_t number)
 {
 	a->number = number;
-	a->heard = true;
+	a->has_answer = true;
 	a->since = now;
 }
 
 enum era_verdict
-era_heard(struct era *a, msec now, uint64_t number)
+era_check_answer(struct era *a, msec now, uint64_t number)
 {
 	if (number > ERA_MAX)
 		number = 0;
-	if (!a->heard) {
+	if (!a->has_answer) {
 		era_begin(a, now, number);
-		return ERA_SAME;
+		return ERA_CURRENT;
 	}
 	if (number == a->number)
-		return ERA_SAME;
+		return ERA_CURRENT;
 	if (number == 0) {
-		a->counters.unnamed++;
-		return ERA_OLD;
+		a->counters.without_era++;
+		return ERA_OUTDATED;
 	}
 	if (number < a->number) {
 		a->counters.old++;
-		return ERA_OLD;
+		return ERA_OUTDATED;
 	}
 	era_begin(a, now, number);
 	a->counters.changes++;
-	return ERA_ROSE;
+	return ERA_INCREASED;
 }
 
 void
-era_told(struct era *a, msec now, uint64_t number, uint32_t age_ms)
+era_set_min_age(struct era *a, msec now, uint64_t number, uint32_t age_ms)
 {
-	if (!a->heard || number != a->number || age_ms == ERA_AGE_UNKNOWN)
+	if (!a->has_answer || number != a->number || age_ms == ERA_AGE_UNKNOWN)
 		return;
 	a->since = MIN(a->since, now - age_ms);
 }
@@ -66,13 +66,13 @@
 }
 
 bool
-era_settled(const struct era *a, msec then, msec rewrite)
+era_is_settled(const struct era *a, msec then, msec rewrite)
 {
 	return a->number == 0 || then >= a->since + rewrite;
 }
 
 uint64_t
-era_mark(const struct era *a, uint64_t mark)
+era_mix_mark(const struct era *a, uint64_t mark)
 {
 	return a->number == 0 ? mark
 			      : mark ^ XXH64(&a->number, sizeof a->number, 11);
--- a/era.h
+++ b/era.h
@@ -7,7 +7,7 @@
  *
  * - An answer of the newest known era is valid.
  * - The first answer of a greater era is valid, but everything read before it
- *   must be read again, at any offset: see ERA_ROSE.
+ *   must be read again, at any offset: see ERA_INCREASED.
  * - An answer of a lesser era, or of none where others had one, is ignored: it
  *   was delayed, or does not come from the store.
  * - A store whose answers never contain an era is never rolled back: its era
@@ -15,7 +15,7 @@
  *
  * Writers need some time to write the lost data again. Until then, the newest
  * data in the store may be older than data that it once acknowledged: see
- * era_settled().
+ * era_is_settled().
  *
  * This module does no I/O.
  */
@@ -32,22 +32,23 @@
 
 /* What to do with an answer of the store. */
 enum era_verdict {
-	ERA_SAME, /* use it */
-	ERA_ROSE, /* use it, and read everything else again */
-	ERA_OLD	  /* ignore it */
+	ERA_CURRENT,   /* use it */
+	ERA_INCREASED, /* use it, and read everything else again */
+	ERA_OUTDATED   /* ignore it */
 };
 
 /* Counters; none ever decreases. */
 struct era_counters {
 	uint64_t changes; /* answers with a greater era than before */
 	uint64_t old;	  /* answers of an earlier era */
-	uint64_t unnamed; /* answers without an era from a store that has one */
+	uint64_t
+	    without_era; /* answers without an era from a store that has one */
 };
 
 /* The newest known era of one store. */
 struct era {
 	uint64_t number; /* 0: no answer contained an era */
-	bool heard;	 /* an answer was received */
+	bool has_answer; /* an answer was received */
 	msec since;	 /* latest time at which the era can have begun */
 	struct era_counters counters;
 };
@@ -55,9 +56,9 @@
 /* No answer has been received yet. */
 void era_init(struct era *);
 /* Handle the era of an answer from the store; 0: none, or not readable. */
-enum era_verdict era_heard(struct era *, msec now, uint64_t number);
+enum era_verdict era_check_answer(struct era *, msec now, uint64_t number);
 /* Another node or the store reports that the era is at least so many ms old. */
-void era_told(struct era *, msec now, uint64_t number, uint32_t age_ms);
+void era_set_min_age(struct era *, msec now, uint64_t number, uint32_t age_ms);
 /* Minimum age of the era in ms, for other nodes, or ERA_AGE_UNKNOWN. */
 uint32_t era_age(const struct era *, msec now);
 /*
@@ -65,12 +66,12 @@
  * restore lost data within `rewrite` ms after the store is rolled back. The
  * first era that a node learns of may have begun just before.
  */
-bool era_settled(const struct era *, msec then, msec rewrite);
+bool era_is_settled(const struct era *, msec then, msec rewrite);
 /*
  * Mix the era into a mark (a hash of read data that nodes compare), so that a
  * mark from one era never matches one from another.
  */
-uint64_t era_mark(const struct era *, uint64_t mark);
+uint64_t era_mix_mark(const struct era *, uint64_t mark);
 
 /*
  * A number that increases with the offset of a record in the log, also after
--- a/fresh.c
+++ b/fresh.c
@@ -11,22 +11,22 @@
 }
 
 void
-fresh_prove(struct fresh *f, msec asked)
+fresh_record_proof(struct fresh *f, msec asked)
 {
-	if (f->proven == MSEC_NEVER || asked > f->proven)
-		f->proven = asked;
+	if (f->proof_at == MSEC_NEVER || asked > f->proof_at)
+		f->proof_at = asked;
 }
 
 msec
 fresh_age(const struct fresh *f, msec now)
 {
-	return f->proven == MSEC_NEVER ? MSEC_NEVER : now - f->proven;
+	return f->proof_at == MSEC_NEVER ? MSEC_NEVER : now - f->proof_at;
 }
 
 bool
-fresh_holds(const struct fresh *f, msec now)
+fresh_is_valid(const struct fresh *f, msec now)
 {
-	if (f->proven == MSEC_NEVER)
+	if (f->proof_at == MSEC_NEVER)
 		return false;
-	return f->bound == 0 || now - f->proven < f->bound;
+	return f->bound == 0 || now - f->proof_at < f->bound;
 }
--- a/fresh.h
+++ b/fresh.h
@@ -14,8 +14,8 @@
 
 /* The newest proof of the local node. */
 struct fresh {
-	msec proven; /* time of the proof; MSEC_NEVER: none yet */
-	msec bound;  /* validity of a proof; 0: unlimited */
+	msec proof_at; /* time of the proof; MSEC_NEVER: none yet */
+	msec bound;    /* validity of a proof; 0: unlimited */
 };
 
 /* Start without a proof; the bound is in ms. */
@@ -26,9 +26,9 @@
  * have been paused before it processed the answer, so only the time of the
  * request bounds the age of the data.
  */
-void fresh_prove(struct fresh *, msec asked);
+void fresh_record_proof(struct fresh *, msec asked);
 /* Whether keys may be accepted now: the proof is younger than the bound. */
-bool fresh_holds(const struct fresh *, msec now);
+bool fresh_is_valid(const struct fresh *, msec now);
 /* Age of the proof in ms; MSEC_NEVER without one. */
 msec fresh_age(const struct fresh *, msec now);
 
--- a/lease.c
+++ b/lease.c
@@ -11,11 +11,11 @@
 static int lease_cmp(struct lease *, struct lease *);
 static struct lease *lease_get(struct lease_fold *, const char *, bool);
 static void lease_free(struct lease_fold *, struct lease *);
-static bool fold_knows_none(const struct lease_fold *, const struct lease *);
+static bool fold_has_no_lease(const struct lease_fold *, const struct lease *);
 static bool
 claim_accepted(const struct lease_fold *, const struct lease *, uint64_t);
-static bool claim_on_unjudged(const struct lease *, uint64_t);
-static void claim_unjudged(struct lease *, uint64_t, uint64_t);
+static bool claim_replaces_unresolved(const struct lease *, uint64_t);
+static void claim_store_unresolved(struct lease *, uint64_t, uint64_t);
 static void claim_rejected(
     struct lease_fold *, struct lease *, const char *, uint64_t, uint64_t);
 static void fold_claim(struct lease_fold *, msec, uint64_t, const json_t *);
@@ -24,9 +24,10 @@
 record_decode(const json_t *, const char **, uint64_t *, name_id *, uint64_t *);
 static json_t *record_new(
     const char *, const char *, uint64_t, name_id, uint64_t, const char *);
-static bool user_holds(const struct lease_user *, msec);
-static bool user_is_holder(const struct lease_user *, const struct lease *);
-static void user_accepted(struct lease_user *, msec, const struct lease *);
+static bool client_holds(const struct lease_client *, msec);
+static bool client_is_holder(const struct lease_client *, const struct lease *);
+static void
+client_claim_accepted(struct lease_client *, msec, const struct lease *);
 
 RB_GENERATE(lease_tree, lease, entry, lease_cmp)
 
@@ -39,7 +40,7 @@
 void
 lease_fold_init(struct lease_fold *f)
 {
-	*f = (struct lease_fold){ .next = 1, .blind = -MSEC_NEVER };
+	*f = (struct lease_fold){ .next = 1, .missing_until = -MSEC_NEVER };
 	RB_INIT(&f->leases);
 }
 
@@ -91,7 +92,7 @@
 		return;
 	log_info("lease records before offset %" PRIu64 " are missing", first);
 	f->next = first;
-	f->blind = MAX(f->blind, wall);
+	f->missing_until = MAX(f->missing_until, wall);
 	f->gap_at = now;
 	while ((l = RB_ROOT(&f->leases)) != NULL) {
 		/* The analyzer loses the tree's links in RB_REMOVE. */
@@ -135,24 +136,25 @@
 
 /* Whether there is certainly no lease in force at the newest record's time. */
 static bool
-fold_knows_none(const struct lease_fold *f, const struct lease *l)
+fold_has_no_lease(const struct lease_fold *f, const struct lease *l)
 {
-	if (l != NULL && f->wall - l->wall <= LEASE_FORGET)
+	if (l != NULL && f->wall - l->wall <= LEASE_MAX_AGE)
 		return false;
-	return (l != NULL && l->certain) || f->blind < f->wall - LEASE_FORGET;
+	return (l != NULL && l->certain) ||
+	       f->missing_until < f->wall - LEASE_MAX_AGE;
 }
 
 /* Whether this is the first claim that replaces a claim in `unjudged`. */
 static bool
-claim_on_unjudged(const struct lease *l, uint64_t replaces)
+claim_replaces_unresolved(const struct lease *l, uint64_t replaces)
 {
 	bool found = false;
 	unsigned int i;
 
-	for (i = 0; i < l->nunjudged; i++) {
-		if (l->unjudged[i].replaces == replaces)
+	for (i = 0; i < l->nunresolved; i++) {
+		if (l->unresolved[i].replaces == replaces)
 			return false;
-		found |= l->unjudged[i].offset == replaces;
+		found |= l->unresolved[i].offset == replaces;
 	}
 	return found;
 }
@@ -163,29 +165,29 @@
  * are still stored.
  */
 static void
-claim_unjudged(struct lease *l, uint64_t offset, uint64_t replaces)
+claim_store_unresolved(struct lease *l, uint64_t offset, uint64_t replaces)
 {
-	if (l->nunjudged == LEASE_UNJUDGED_MAX) {
-		l->nunjudged--;
-		memmove(&l->unjudged[0], &l->unjudged[1],
-		    l->nunjudged * sizeof l->unjudged[0]);
+	if (l->nunresolved == LEASE_UNRESOLVED_MAX) {
+		l->nunresolved--;
+		memmove(&l->unresolved[0], &l->unresolved[1],
+		    l->nunresolved * sizeof l->unresolved[0]);
 	}
-	l->unjudged[l->nunjudged].offset = offset;
-	l->unjudged[l->nunjudged].replaces = replaces;
-	l->nunjudged++;
+	l->unresolved[l->nunresolved].offset = offset;
+	l->unresolved[l->nunresolved].replaces = replaces;
+	l->nunresolved++;
 }
 
 static bool
 claim_accepted(
     const struct lease_fold *f, const struct lease *l, uint64_t replaces)
 {
-	if (fold_knows_none(f, l))
+	if (fold_has_no_lease(f, l))
 		return replaces == 0;
 	if (l == NULL)
 		return false;
 	if (l->certain)
 		return replaces == l->fencing;
-	return claim_on_unjudged(l, replaces);
+	return claim_replaces_unresolved(l, replaces);
 }
 
 /* Handle a claim that is rejected or cannot be judged. */
@@ -193,7 +195,7 @@
 claim_rejected(struct lease_fold *f, struct lease *l, const char *service,
     uint64_t offset, uint64_t replaces)
 {
-	if (fold_knows_none(f, l)) {
+	if (fold_has_no_lease(f, l)) {
 		/* The lease has been forgotten; the next claim replaces 0. */
 		if (l != NULL)
 			lease_free(f, l);
@@ -202,7 +204,7 @@
 	if (l != NULL && l->certain)
 		return;
 	l = lease_get(f, service, true);
-	claim_unjudged(l, offset, replaces);
+	claim_store_unresolved(l, offset, replaces);
 	l->wall = f->wall;
 }
 
@@ -230,7 +232,7 @@
 	}
 	l = lease_get(f, service, true);
 	l->certain = true;
-	l->nunjudged = 0;
+	l->nunresolved = 0;
 	l->fencing = offset;
 	l->holder = holder;
 	l->incarnation = incarnation;
@@ -293,21 +295,21 @@
 }
 
 void
-lease_user_init(struct lease_user *u, const char *service, name_id self,
+lease_client_init(struct lease_client *u, const char *service, name_id self,
     uint64_t incarnation)
 {
-	*u = (struct lease_user){ .self = self, .incarnation = incarnation };
+	*u = (struct lease_client){ .self = self, .incarnation = incarnation };
 	g_strlcpy(u->service, service, sizeof u->service);
 }
 
 static bool
-user_holds(const struct lease_user *u, msec now)
+client_holds(const struct lease_client *u, msec now)
 {
 	return u->fencing != 0 && now < u->until;
 }
 
 static bool
-user_is_holder(const struct lease_user *u, const struct lease *l)
+client_is_holder(const struct lease_client *u, const struct lease *l)
 {
 	return l->holder == u->self && l->incarnation == u->incarnation &&
 	       !l->released;
@@ -320,8 +322,8 @@
  * claims only after the term has ended at the holder, also if the record
  * reached the challenger late.
  */
-enum lease_act
-lease_user_tick(const struct lease_user *u, msec now, struct lease_fold *f,
+enum lease_action
+lease_client_tick(const struct lease_client *u, msec now, struct lease_fold *f,
     uint64_t *replaces)
 {
 	struct lease *l = lease_fold_find(f, u->service);
@@ -329,37 +331,37 @@
 	if (u->leaving)
 		return LEASE_NOTHING;
 	/* A claim appended later than this leaves too little of its term. */
-	if (u->pending && now < u->asked_at + LEASE_TERM / 2)
+	if (u->pending && now < u->sent_at + LEASE_TERM / 2)
 		return LEASE_NOTHING;
 	if (l == NULL) {
 		/* Unknown: wait until every fold has forgotten the old lease.
 		 */
-		if (f->blind != -MSEC_NEVER &&
-		    now < f->gap_at + LEASE_FORGET + LEASE_MARGIN)
+		if (f->missing_until != -MSEC_NEVER &&
+		    now < f->gap_at + LEASE_MAX_AGE + LEASE_CLOCK_MARGIN)
 			return LEASE_NOTHING;
 		*replaces = 0;
 		return LEASE_CLAIM;
 	}
 	*replaces = l->fencing;
-	if (user_is_holder(u, l) && user_holds(u, now))
+	if (client_is_holder(u, l) && client_holds(u, now))
 		return u->until - now < LEASE_TERM * 2 / 3 ? LEASE_RENEW
 							   : LEASE_NOTHING;
-	if (user_is_holder(u, l) || l->released ||
-	    now >= l->read_at + l->term + LEASE_MARGIN)
+	if (client_is_holder(u, l) || l->released ||
+	    now >= l->read_at + l->term + LEASE_CLOCK_MARGIN)
 		return LEASE_CLAIM;
 	return LEASE_NOTHING;
 }
 
 void
-lease_user_sent(struct lease_user *u, msec now, struct lease_fold *f,
+lease_client_claim_sent(struct lease_client *u, msec now, struct lease_fold *f,
     uint64_t replaces, const char *id)
 {
 	struct lease *l = lease_fold_find(f, u->service);
 
 	u->pending = true;
 	u->replaces = replaces;
-	u->took_released = l != NULL && l->released;
-	u->asked_at = now;
+	u->replaces_released = l != NULL && l->released;
+	u->sent_at = now;
 	g_strlcpy(u->id, id, sizeof u->id);
 }
 
@@ -370,17 +372,17 @@
  * order if the previous holder released the lease.
  */
 static void
-user_accepted(struct lease_user *u, msec now, const struct lease *l)
+client_claim_accepted(struct lease_client *u, msec now, const struct lease *l)
 {
-	bool held = user_holds(u, now);
+	bool held = client_holds(u, now);
 
 	u->fencing = l->fencing;
-	u->until = u->asked_at + l->term;
+	u->until = u->sent_at + l->term;
 	if (held)
 		return;
 	u->unfenced_from = now + LEASE_ORDER_TIMEOUT;
-	if (!u->took_released)
-		u->unfenced_from += LEASE_TERM + LEASE_MARGIN;
+	if (!u->replaces_released)
+		u->unfenced_from += LEASE_TERM + LEASE_CLOCK_MARGIN;
 	log_info("%s: lease acquired, fencing number %" PRIu64, u->service,
 	    u->fencing);
 }
@@ -393,7 +395,8 @@
  * holder in the fold, but has to claim again before it sends orders.
  */
 void
-lease_user_folded(struct lease_user *u, msec now, struct lease_fold *f)
+lease_client_fold_changed(
+    struct lease_client *u, msec now, struct lease_fold *f)
 {
 	struct lease *l = lease_fold_find(f, u->service);
 
@@ -406,22 +409,22 @@
 	}
 	if (u->pending && l->fencing != u->replaces) {
 		u->pending = false;
-		if (!u->leaving && user_is_holder(u, l) &&
+		if (!u->leaving && client_is_holder(u, l) &&
 		    strcmp(u->id, l->id) == 0)
-			user_accepted(u, now, l);
+			client_claim_accepted(u, now, l);
 	}
 	if (l->fencing != u->fencing || l->released)
 		u->fencing = 0;
 }
 
 void
-lease_user_failed(struct lease_user *u)
+lease_client_claim_failed(struct lease_client *u)
 {
 	u->pending = false;
 }
 
 void
-lease_user_release(struct lease_user *u)
+lease_client_release(struct lease_client *u)
 {
 	u->fencing = 0;
 	u->until = 0;
@@ -430,7 +433,7 @@
 
 /* A holder that was paused finds here that its term has ended. */
 bool
-lease_user_may_order(const struct lease_user *u, msec now, bool fenced)
+lease_client_may_order(const struct lease_client *u, msec now, bool fenced)
 {
 	if (u->fencing == 0 || now + LEASE_ORDER_TIMEOUT > u->until)
 		return false;
--- a/lease.h
+++ b/lease.h
@@ -11,7 +11,7 @@
  * {"kind": "lease-claim", "service", "replaces", "holder", "incarnation",
  *  "term_ms"}
  *	Accepted if it replaces the record in force: 0 if there is none, or
- *	if the last one is older than LEASE_FORGET by the log's clock.
+ *	if the last one is older than LEASE_MAX_AGE by the log's clock.
  * {"kind": "lease-release", "service", "replaces", "holder", "incarnation"}
  *	Written by the holder; a claim that replaces a released lease need
  *	not wait until its term ends.
@@ -30,12 +30,12 @@
 /* Term of a claim or renewal. */
 #define LEASE_TERM (10 * MSEC_SECOND)
 /* Exceeds the drift between the clocks of two nodes over a term. */
-#define LEASE_MARGIN (2 * MSEC_SECOND)
+#define LEASE_CLOCK_MARGIN (2 * MSEC_SECOND)
 /* Maximum time from the check of an order to its last effect. */
 #define LEASE_ORDER_TIMEOUT (2 * MSEC_SECOND)
 /* Every fold forgets a lease of this age; far below the log's retention. */
-#define LEASE_FORGET (120 * MSEC_SECOND)
-#define LEASE_UNJUDGED_MAX 8
+#define LEASE_MAX_AGE (120 * MSEC_SECOND)
+#define LEASE_UNRESOLVED_MAX 8
 
 /* The lease of one service in the fold. */
 struct lease {
@@ -54,8 +54,8 @@
 	struct {
 		uint64_t offset;
 		uint64_t replaces;
-	} unjudged[LEASE_UNJUDGED_MAX];
-	unsigned int nunjudged;
+	} unresolved[LEASE_UNRESOLVED_MAX];
+	unsigned int nunresolved;
 };
 RB_HEAD(lease_tree, lease);
 
@@ -64,9 +64,10 @@
 	struct lease_tree leases;
 	uint64_t next;
 	uint64_t skipped;
-	msec wall;   /* newest time by the log's clock that was read */
-	msec blind;  /* records up to this time by its clock may be missing */
-	msec gap_at; /* when this node detected the gap */
+	msec wall;	    /* newest time by the log's clock that was read */
+	msec missing_until; /* records up to this time by its clock may be
+			       missing */
+	msec gap_at;	    /* when this node detected the gap */
 };
 
 /* Start with an empty fold; free it. */
@@ -93,47 +94,48 @@
 lease_release_encode(const char *, uint64_t, name_id, uint64_t, const char *);
 
 /* What a node has to do for the lease of one service. */
-enum lease_act {
+enum lease_action {
 	LEASE_NOTHING,
 	LEASE_CLAIM, /* append a claim that replaces `replaces` */
 	LEASE_RENEW  /* the same, while holding the lease */
 };
 
-/* State of the local node as holder or challenger; see lease_user_init(). */
-struct lease_user {
+/* State of the local node as holder or challenger; see lease_client_init(). */
+struct lease_client {
 	char service[NAME_SIZE];
 	name_id self;
 	uint64_t incarnation;
-	uint64_t fencing;     /* 0: this node is not the holder */
-	msec until;	      /* end of its term, if it is the holder */
-	bool leaving;	      /* released; makes no further claim */
-	bool pending;	      /* a claim was sent and not read back yet */
-	char id[LOG_ID_SIZE]; /* record id of that claim */
-	uint64_t replaces;    /* offset of the record that it replaces */
-	bool took_released;   /* that record had been released */
-	msec asked_at;	      /* time before the append of the claim was sent */
-	msec unfenced_from;   /* orders to engines without fencing from here */
+	uint64_t fencing;	/* 0: this node is not the holder */
+	msec until;		/* end of its term, if it is the holder */
+	bool leaving;		/* released; makes no further claim */
+	bool pending;		/* a claim was sent and not read back yet */
+	char id[LOG_ID_SIZE];	/* record id of that claim */
+	uint64_t replaces;	/* offset of the record that it replaces */
+	bool replaces_released; /* that record had been released */
+	msec sent_at;	    /* time before the append of the claim was sent */
+	msec unfenced_from; /* orders to engines without fencing from here */
 };
 
 /* Arguments: the service, the local node's id and its incarnation. */
-void lease_user_init(struct lease_user *, const char *, name_id, uint64_t);
+void lease_client_init(struct lease_client *, const char *, name_id, uint64_t);
 /* Return what to do now; stores the offset of the record to replace. */
-enum lease_act lease_user_tick(
-    const struct lease_user *, msec, struct lease_fold *, uint64_t *);
+enum lease_action lease_client_tick(
+    const struct lease_client *, msec, struct lease_fold *, uint64_t *);
 /*
  * Call right before a claim is sent, with the time, the offset of the replaced
  * record and the claim's record id.
  */
-void lease_user_sent(
-    struct lease_user *, msec, struct lease_fold *, uint64_t, const char *);
+void lease_client_claim_sent(
+    struct lease_client *, msec, struct lease_fold *, uint64_t, const char *);
 /* Update the state after a record was applied to the fold. */
-void lease_user_folded(struct lease_user *, msec, struct lease_fold *);
+void
+lease_client_fold_changed(struct lease_client *, msec, struct lease_fold *);
 /* The claim was certainly not appended; the lease is unchanged. */
-void lease_user_failed(struct lease_user *);
+void lease_client_claim_failed(struct lease_client *);
 /* Call before a release is appended: forbids any further order or claim. */
-void lease_user_release(struct lease_user *);
+void lease_client_release(struct lease_client *);
 /* Whether an order may be sent now; last: the engine checks fencing numbers. */
-bool lease_user_may_order(const struct lease_user *, msec, bool);
+bool lease_client_may_order(const struct lease_client *, msec, bool);
 
 RB_PROTOTYPE(lease_tree, lease, entry, lease_cmp)
 
--- a/ledger-home.c
+++ b/ledger-home.c
@@ -14,11 +14,11 @@
 pending_find(struct ledger_home *, const struct ledger_claim *);
 static void pending_free(struct ledger_home *, struct ledger_pending *);
 static void pending_requeue(struct ledger_home *, struct ledger_pending *);
-static void pending_give_up(struct ledger_home *, struct ledger_pending *);
+static void pending_abort(struct ledger_home *, struct ledger_pending *);
 static void claim_answer(
     struct ledger_home *, const struct ledger_claim *, enum ledger_answer);
 static void home_expire(struct ledger_home *, msec);
-static msec pending_until(const struct ledger_pending *);
+static msec pending_deadline(const struct ledger_pending *);
 static void
 list_expire(struct ledger_home *, struct ledger_pending_list *, msec);
 
@@ -60,9 +60,9 @@
 	struct ledger_pending *p;
 
 	while ((p = TAILQ_FIRST(&h->queued)) != NULL)
-		pending_give_up(h, p);
+		pending_abort(h, p);
 	while ((p = TAILQ_FIRST(&h->sent)) != NULL)
-		pending_give_up(h, p);
+		pending_abort(h, p);
 	ledger_fold_finish(&h->fold);
 }
 
@@ -91,14 +91,14 @@
 claim_answer(struct ledger_home *h, const struct ledger_claim *c,
     enum ledger_answer answer)
 {
-	enum ledger_verdict verdict = LEDGER_TOO_OLD;
+	enum ledger_verdict verdict = LEDGER_UNDECIDABLE;
 	struct ledger_claim *first = NULL;
 
 	if (c->status != 0)
 		return;
-	if (answer == LEDGER_JUDGED) {
+	if (answer == LEDGER_DECIDED) {
 		first = ledger_fold_find(&h->fold, c->organisation, c->key);
-		verdict = ledger_fold_judge(&h->fold, c);
+		verdict = ledger_fold_decide(&h->fold, c);
 	}
 	log_debug(
 	    "claim %u: answer %d, verdict %d", c->request, answer, verdict);
@@ -112,11 +112,11 @@
  * the log.
  */
 static void
-pending_give_up(struct ledger_home *h, struct ledger_pending *p)
+pending_abort(struct ledger_home *h, struct ledger_pending *p)
 {
 	struct ledger_claim c = p->claim;
 	enum ledger_answer answer =
-	    p->may_stand ? LEDGER_UNDECIDED : LEDGER_NOT_APPENDED;
+	    p->may_be_in_log ? LEDGER_UNDECIDED : LEDGER_NOT_APPENDED;
 
 	pending_free(h, p);
 	claim_answer(h, &c, answer);
@@ -136,16 +136,17 @@
 	 */
 	if (c->status == 0 &&
 	    ledger_fold_find(&h->fold, c->organisation, c->key) != NULL) {
-		claim_answer(h, c, LEDGER_JUDGED);
+		claim_answer(h, c, LEDGER_DECIDED);
 		return;
 	}
-	if (h->npending >= LEDGER_PENDING_MAX || (h->down && c->status == 0)) {
+	if (h->npending >= LEDGER_PENDING_MAX ||
+	    (h->log_down && c->status == 0)) {
 		claim_answer(h, c, LEDGER_NOT_APPENDED);
 		return;
 	}
 	p = g_new0(struct ledger_pending, 1);
 	p->claim = *c;
-	p->asked_at = now;
+	p->received_at = now;
 	RB_INSERT(ledger_pending_tree, &h->pending, p);
 	TAILQ_INSERT_TAIL(&h->queued, p, list_entry);
 	h->npending++;
@@ -153,10 +154,10 @@
 }
 
 static msec
-pending_until(const struct ledger_pending *p)
+pending_deadline(const struct ledger_pending *p)
 {
-	return p->asked_at + (p->claim.status == 0 ? LEDGER_CLAIM_TIMEOUT
-						   : LEDGER_END_TIMEOUT);
+	return p->received_at + (p->claim.status == 0 ? LEDGER_CLAIM_TIMEOUT
+						      : LEDGER_END_TIMEOUT);
 }
 
 static void
@@ -165,8 +166,8 @@
 	struct ledger_pending *p, *next;
 
 	TAILQ_FOREACH_SAFE (p, list, list_entry, next) {
-		if (now >= pending_until(p))
-			pending_give_up(h, p);
+		if (now >= pending_deadline(p))
+			pending_abort(h, p);
 	}
 }
 
@@ -187,16 +188,16 @@
 
 	home_expire(h, now);
 	p = TAILQ_FIRST(&h->queued);
-	if (p == NULL || h->down ||
+	if (p == NULL || h->log_down ||
 	    (h->nqueued < LEDGER_BATCH_MAX &&
-		now < p->asked_at + LEDGER_BATCH_WAIT))
+		now < p->received_at + LEDGER_BATCH_WAIT))
 		return NULL;
 	*batch = ++h->last_batch;
 	while (n < LEDGER_BATCH_MAX && (p = TAILQ_FIRST(&h->queued)) != NULL) {
 		TAILQ_REMOVE(&h->queued, p, list_entry);
 		h->nqueued--;
 		p->batch = *batch;
-		p->may_stand = true;
+		p->may_be_in_log = true;
 		TAILQ_INSERT_TAIL(&h->sent, p, list_entry);
 		claims[n++] = p->claim;
 	}
@@ -212,10 +213,10 @@
 
 	p = TAILQ_FIRST(&h->queued);
 	if (p != NULL)
-		next = h->down ? pending_until(p)
-			       : p->asked_at + LEDGER_BATCH_WAIT;
+		next = h->log_down ? pending_deadline(p)
+				   : p->received_at + LEDGER_BATCH_WAIT;
 	TAILQ_FOREACH (p, &h->sent, list_entry)
-		next = MIN(next, pending_until(p));
+		next = MIN(next, pending_deadline(p));
 	return next;
 }
 
@@ -251,8 +252,8 @@
 		}
 		if (outcome == LEDGER_APPEND_UNKNOWN)
 			continue;
-		p->may_stand = false;
-		pending_give_up(h, p);
+		p->may_be_in_log = false;
+		pending_abort(h, p);
 	}
 }
 
@@ -264,7 +265,7 @@
 	struct ledger_pending *p;
 	unsigned int i, n = 0;
 
-	claims = ledger_fold_open(&h->fold, offset, wall, data, len, &n);
+	claims = ledger_fold_decode(&h->fold, offset, wall, data, len, &n);
 	if (claims == NULL)
 		return;
 	ledger_fold_claims(&h->fold, offset, wall, claims, n);
@@ -273,22 +274,22 @@
 		if (p == NULL)
 			continue;
 		pending_free(h, p);
-		claim_answer(h, &claims[i], LEDGER_JUDGED);
+		claim_answer(h, &claims[i], LEDGER_DECIDED);
 	}
 	free(claims);
 }
 
 void
-ledger_home_down(struct ledger_home *h, bool down)
+ledger_home_set_log_down(struct ledger_home *h, bool log_down)
 {
 	struct ledger_pending *p, *next;
 
-	h->down = down;
-	if (!down)
+	h->log_down = log_down;
+	if (!log_down)
 		return;
 	/* Claims that were in no record are certainly not in the log. */
 	TAILQ_FOREACH_SAFE (p, &h->queued, list_entry, next) {
 		if (p->claim.status == 0)
-			pending_give_up(h, p);
+			pending_abort(h, p);
 	}
 }
--- a/ledger.c
+++ b/ledger.c
@@ -26,10 +26,10 @@
 static bool
 claim_same_request(const struct ledger_claim *, const struct ledger_claim *);
 static struct ledger_claim *
-claim_gone(struct ledger_fold *, const struct ledger_claim *);
-static void claim_keep(struct ledger_fold *, struct ledger_claim_tree *,
+claim_find_withdrawn(struct ledger_fold *, const struct ledger_claim *);
+static void claim_insert(struct ledger_fold *, struct ledger_claim_tree *,
     const struct ledger_claim *);
-static void claim_forget(struct ledger_fold *, struct ledger_claim *);
+static void claim_remove(struct ledger_fold *, struct ledger_claim *);
 static void fold_expire(struct ledger_fold *);
 static void fold_claim(struct ledger_fold *, const struct ledger_claim *);
 static void fold_end(struct ledger_fold *, const struct ledger_claim *);
@@ -70,10 +70,10 @@
 {
 	*f = (struct ledger_fold){ 0 };
 	RB_INIT(&f->claims);
-	RB_INIT(&f->gone);
+	RB_INIT(&f->withdrawn);
 	TAILQ_INIT(&f->by_age);
 	f->next = 1;
-	f->blind = -MSEC_NEVER;
+	f->missing_until = -MSEC_NEVER;
 }
 
 void
@@ -82,7 +82,7 @@
 	struct ledger_claim *c;
 
 	while ((c = TAILQ_FIRST(&f->by_age)) != NULL)
-		claim_forget(f, c);
+		claim_remove(f, c);
 }
 
 void
@@ -119,29 +119,29 @@
 }
 
 static struct ledger_claim *
-claim_gone(struct ledger_fold *f, const struct ledger_claim *c)
+claim_find_withdrawn(struct ledger_fold *f, const struct ledger_claim *c)
 {
 	struct ledger_claim want = *c;
 
-	return RB_FIND(ledger_claim_tree, &f->gone, &want);
+	return RB_FIND(ledger_claim_tree, &f->withdrawn, &want);
 }
 
 static void
-claim_keep(struct ledger_fold *f, struct ledger_claim_tree *tree,
+claim_insert(struct ledger_fold *f, struct ledger_claim_tree *tree,
     const struct ledger_claim *c)
 {
-	struct ledger_claim *mine = g_memdup2(c, sizeof *c);
+	struct ledger_claim *copy = g_memdup2(c, sizeof *c);
 
-	RB_INSERT(ledger_claim_tree, tree, mine);
-	TAILQ_INSERT_TAIL(&f->by_age, mine, age_entry);
+	RB_INSERT(ledger_claim_tree, tree, copy);
+	TAILQ_INSERT_TAIL(&f->by_age, copy, age_entry);
 	f->count++;
 }
 
 static void
-claim_forget(struct ledger_fold *f, struct ledger_claim *c)
+claim_remove(struct ledger_fold *f, struct ledger_claim *c)
 {
 	struct ledger_claim_tree *tree =
-	    c->status == LEDGER_ABANDONED ? &f->gone : &f->claims;
+	    c->status == LEDGER_WITHDRAWN ? &f->withdrawn : &f->claims;
 
 	RB_REMOVE(ledger_claim_tree, tree, c);
 	TAILQ_REMOVE(&f->by_age, c, age_entry);
@@ -157,7 +157,7 @@
 	TAILQ_FOREACH_SAFE (c, &f->by_age, age_entry, next) {
 		if (f->wall - c->wall <= LEDGER_WINDOW)
 			return;
-		claim_forget(f, c);
+		claim_remove(f, c);
 	}
 }
 
@@ -170,10 +170,10 @@
 static void
 fold_claim(struct ledger_fold *f, const struct ledger_claim *c)
 {
-	if (claim_gone(f, c) != NULL ||
+	if (claim_find_withdrawn(f, c) != NULL ||
 	    ledger_fold_find(f, c->organisation, c->key) != NULL)
 		return;
-	claim_keep(f, &f->claims, c);
+	claim_insert(f, &f->claims, c);
 }
 
 static void
@@ -184,7 +184,7 @@
 	first = ledger_fold_find(f, c->organisation, c->key);
 	if (first != NULL && !claim_same_request(first, c))
 		first = NULL;
-	if (c->status != LEDGER_ABANDONED) {
+	if (c->status != LEDGER_WITHDRAWN) {
 		if (first != NULL && first->status == 0)
 			first->status = c->status;
 		return;
@@ -193,9 +193,9 @@
 	if (first != NULL && first->status != 0)
 		return;
 	if (first != NULL)
-		claim_forget(f, first);
-	if (claim_gone(f, c) == NULL)
-		claim_keep(f, &f->gone, c);
+		claim_remove(f, first);
+	if (claim_find_withdrawn(f, c) == NULL)
+		claim_insert(f, &f->withdrawn, c);
 }
 
 void
@@ -224,14 +224,14 @@
 	struct ledger_claim *claims;
 	unsigned int n = 0;
 
-	claims = ledger_fold_open(f, offset, wall, data, len, &n);
+	claims = ledger_fold_decode(f, offset, wall, data, len, &n);
 	if (claims != NULL)
 		ledger_fold_claims(f, offset, wall, claims, n);
 	free(claims);
 }
 
 struct ledger_claim *
-ledger_fold_open(struct ledger_fold *f, uint64_t offset, msec wall,
+ledger_fold_decode(struct ledger_fold *f, uint64_t offset, msec wall,
     const char *data, size_t len, unsigned int *n)
 {
 	struct ledger_claim *claims = NULL;
@@ -261,35 +261,35 @@
 	    " ms are unknown",
 	    wall);
 	f->next = first;
-	f->blind = MAX(f->blind, wall);
+	f->missing_until = MAX(f->missing_until, wall);
 }
 
 bool
-ledger_fold_can_judge(const struct ledger_fold *f, msec wall)
+ledger_fold_can_decide(const struct ledger_fold *f, msec wall)
 {
-	return f->blind < wall - LEDGER_WINDOW;
+	return f->missing_until < wall - LEDGER_WINDOW;
 }
 
 /*
  * A home may start to read a stream whose earlier records are gone. A key that
  * was claimed in one of them would look free, and its request would be executed
- * twice. So LEDGER_OURS is returned only if all records within LEDGER_WINDOW
+ * twice. So LEDGER_FIRST is returned only if all records within LEDGER_WINDOW
  * before the claim have been read.
  */
 enum ledger_verdict
-ledger_fold_judge(struct ledger_fold *f, const struct ledger_claim *c)
+ledger_fold_decide(struct ledger_fold *f, const struct ledger_claim *c)
 {
 	struct ledger_claim *first;
 
 	first = ledger_fold_find(f, c->organisation, c->key);
 	if (first == NULL)
-		return LEDGER_TOO_OLD;
+		return LEDGER_UNDECIDABLE;
 	if (first->body != c->body)
 		return LEDGER_OTHER_BODY;
 	if (!claim_same_request(first, c))
-		return LEDGER_LATER;
-	return ledger_fold_can_judge(f, first->wall) ? LEDGER_OURS
-						     : LEDGER_TOO_OLD;
+		return LEDGER_NOT_FIRST;
+	return ledger_fold_can_decide(f, first->wall) ? LEDGER_FIRST
+						      : LEDGER_UNDECIDABLE;
 }
 
 char *
--- a/ledger.h
+++ b/ledger.h
@@ -14,7 +14,7 @@
  *
  * {"kind": "ledger-batch", "claims": [[organisation, key, body, node,
  *  incarnation, request, status], ...]}
- *	Hashes in hex. Status 0: a claim. LEDGER_ABANDONED: withdraws the
+ *	Hashes in hex. Status 0: a claim. LEDGER_WITHDRAWN: withdraws the
  *	claim of the same node, incarnation and request. Other values: how the
  *	request ended.
  *
@@ -33,11 +33,11 @@
 /* How long a key stays claimed; shorter than the log's retention. */
 #define LEDGER_WINDOW (30 * 60 * MSEC_SECOND)
 #define LEDGER_KEY_MAX 200 /* bytes of an Idempotency-Key */
-/* LEDGER_OURS is valid for this long after the claim was made. */
-#define LEDGER_RUN_WITHIN (10 * 60 * MSEC_SECOND)
+/* LEDGER_FIRST is valid for this long after the claim was made. */
+#define LEDGER_VERDICT_VALIDITY (10 * 60 * MSEC_SECOND)
 
 /* Status of a withdrawn claim: its request was not and will not be executed. */
-#define LEDGER_ABANDONED 1
+#define LEDGER_WITHDRAWN 1
 
 /* A claim of one key by one request of one entry node. */
 struct ledger_claim {
@@ -58,22 +58,23 @@
 
 /* Result for a claim by the order of the log. */
 enum ledger_verdict {
-	LEDGER_OURS,	   /* this claim is the first: execute the request */
-	LEDGER_LATER,	   /* another claim with the same body was first */
+	LEDGER_FIRST,	   /* this claim is the first: execute the request */
+	LEDGER_NOT_FIRST,  /* another claim with the same body was first */
 	LEDGER_OTHER_BODY, /* the first claim has another request body */
-	LEDGER_TOO_OLD	   /* the fold cannot decide: answer "unknown" */
+	LEDGER_UNDECIDABLE /* the fold cannot decide: answer "unknown" */
 };
 
 /* The claims of one shard within the window. */
 struct ledger_fold {
-	struct ledger_claim_tree claims; /* first claims, by key */
-	struct ledger_claim_tree gone;	 /* withdrawn claims, by request */
-	struct ledger_claim_list by_age; /* of both trees, oldest first */
-	uint64_t next;			 /* offset of the next record */
-	unsigned int count;		 /* of both trees */
-	uint64_t skipped;		 /* records that are no valid batch */
-	msec wall;  /* newest time by the log's clock that was read */
-	msec blind; /* records up to this time by its clock may be missing */
+	struct ledger_claim_tree claims;    /* first claims, by key */
+	struct ledger_claim_tree withdrawn; /* withdrawn claims, by request */
+	struct ledger_claim_list by_age;    /* of both trees, oldest first */
+	uint64_t next;			    /* offset of the next record */
+	unsigned int count;		    /* of both trees */
+	uint64_t skipped;   /* records that are no valid batch */
+	msec wall;	    /* newest time by the log's clock that was read */
+	msec missing_until; /* records up to this time by its clock may be
+			       missing */
 };
 
 /* Start with an empty fold; free it. */
@@ -96,12 +97,12 @@
  */
 void ledger_fold_gap(struct ledger_fold *, uint64_t, msec);
 /* Whether all records are known that matter for a claim of this log time. */
-bool ledger_fold_can_judge(const struct ledger_fold *, msec);
+bool ledger_fold_can_decide(const struct ledger_fold *, msec);
 struct ledger_claim *
 ledger_fold_find(struct ledger_fold *, name_id, const uint64_t[2]);
 /* Decide on a claim; only after the fold has applied the claim's record. */
 enum ledger_verdict
-ledger_fold_judge(struct ledger_fold *, const struct ledger_claim *);
+ledger_fold_decide(struct ledger_fold *, const struct ledger_claim *);
 void ledger_key_hash(name_id, const char *, uint64_t[2]);
 /* Encode claims, and ends (claims with a status), as one record. */
 char *
@@ -110,7 +111,7 @@
  * ledger_fold_apply() in two steps, for the home: decode a record, which
  * returns an array of claims to be freed, and apply them.
  */
-struct ledger_claim *ledger_fold_open(
+struct ledger_claim *ledger_fold_decode(
     struct ledger_fold *, uint64_t, msec, const char *, size_t, unsigned int *);
 void ledger_fold_claims(
     struct ledger_fold *, uint64_t, msec, struct ledger_claim *, unsigned int);
@@ -127,7 +128,7 @@
 
 /* The home's answer to a claim. */
 enum ledger_answer {
-	LEDGER_JUDGED,	     /* see the verdict */
+	LEDGER_DECIDED,	     /* see the verdict */
 	LEDGER_NOT_APPENDED, /* certainly not appended by this home */
 	LEDGER_UNDECIDED     /* it may be in the log now or later */
 };
@@ -144,9 +145,9 @@
 	RB_ENTRY(ledger_pending) entry;
 	TAILQ_ENTRY(ledger_pending) list_entry;
 	struct ledger_claim claim;
-	uint64_t batch; /* number of its batch; 0: not in one yet */
-	bool may_stand; /* a record with it may be in the log */
-	msec asked_at;	/* time of arrival */
+	uint64_t batch;	    /* number of its batch; 0: not in one yet */
+	bool may_be_in_log; /* a record with it may be in the log */
+	msec received_at;   /* time of arrival */
 };
 RB_HEAD(ledger_pending_tree, ledger_pending);
 TAILQ_HEAD(ledger_pending_list, ledger_pending);
@@ -156,7 +157,7 @@
 /* Callbacks of a home. */
 struct ledger_home_ops {
 	/*
-	 * Called once per claim with its answer. For LEDGER_JUDGED the verdict
+	 * Called once per claim with its answer. For LEDGER_DECIDED the verdict
 	 * is valid, and the last argument is the first claim of the key or
 	 * NULL.
 	 */
@@ -176,7 +177,7 @@
 	unsigned int npending;
 	unsigned int nqueued;
 	uint64_t last_batch;
-	bool down; /* the log is unavailable */
+	bool log_down; /* the log is unavailable */
 };
 
 /* Start with an empty fold; `data` of the home is the last argument. */
@@ -200,7 +201,7 @@
 void
 ledger_home_apply(struct ledger_home *, uint64_t, msec, const char *, size_t);
 /* The log is unavailable, or available again; claims are rejected meanwhile. */
-void ledger_home_down(struct ledger_home *, bool);
+void ledger_home_set_log_down(struct ledger_home *, bool);
 
 RB_PROTOTYPE(ledger_claim_tree, ledger_claim, entry, claim_cmp)
 RB_PROTOTYPE(ledger_pending_tree, ledger_pending, entry, pending_cmp)
--- a/poison-private.h
+++ b/poison-private.h
@@ -15,14 +15,14 @@
 RB_PROTOTYPE(poison_records, poison_record, entry, poison_record_compare)
 struct poison_record *record_find(struct poisons *, struct poison_id);
 /* Find or create a record; may evict another one. */
-struct poison_record *record_take(struct poisons *, struct poison_id);
+struct poison_record *record_get(struct poisons *, struct poison_id);
 void records_free(struct poisons *);
 /* Number of server ends in the record. */
 unsigned int record_ends(const struct poison_record *);
 /* Add an ended process; false: known already, or older than `served`. */
-bool record_add_life(struct poisons *, struct poison_record *, uint64_t, msec);
+bool record_add_end(struct poisons *, struct poison_record *, uint64_t, msec);
 /* Add a complete answer; false: it removes no end. */
-bool record_add_served(struct poisons *, struct poison_record *, msec);
+bool record_add_answer(struct poisons *, struct poison_record *, msec);
 /* Time of the next trial of a condemned request. */
 msec record_trial_at(const struct poison_record *);
 bool record_is_condemned(const struct poison_record *, msec);
@@ -38,14 +38,15 @@
 /* ---- distribution: poison-share.c ---- */
 
 /* The owner of a request, and its deputy; 0: there is no deputy. */
-void
-share_owners(const struct poisons *, struct poison_id, name_id *, name_id *);
+void poison_share_owners(
+    const struct poisons *, struct poison_id, name_id *, name_id *);
 /* A record changed here (`ours`) or by a message; schedule its distribution. */
-void share_changed(struct poisons *, msec, struct poison_record *, bool ours);
+void poison_share_changed(
+    struct poisons *, msec, struct poison_record *, bool seen_here);
 /* A record is about to be freed. */
-void share_forget(struct poisons *, struct poison_record *);
-void share_tick(struct poisons *, msec);
-/* Time of the next call of share_tick(). */
-msec share_due(const struct poisons *, msec);
+void poison_share_cancel(struct poisons *, struct poison_record *);
+void poison_share_tick(struct poisons *, msec);
+/* Time of the next call of poison_share_tick(). */
+msec poison_share_next(const struct poisons *, msec);
 
 #endif /* POISON_PRIVATE_H */
--- a/poison-record.c
+++ b/poison-record.c
@@ -12,9 +12,9 @@
 /* Delay of the first trial of a condemned request after its last end. */
 #define POISON_TRIAL_MS (10 * 60 * MSEC_SECOND)
 /* Factor by which the delay grows with each failed trial. */
-#define POISON_TRIAL_TIMES 4
+#define POISON_TRIAL_FACTOR 4
 /* Ends later than this after the condemning one count as failed trials. */
-#define POISON_FIRST_MS (60 * MSEC_SECOND)
+#define POISON_TRIAL_GRACE_MS (60 * MSEC_SECOND)
 /* Age in messages for MSEC_NEVER. */
 #define POISON_AGE_NEVER UINT32_MAX
 
@@ -45,7 +45,7 @@
 static void
 record_free(struct poisons *p, struct poison_record *r)
 {
-	share_forget(p, r);
+	poison_share_cancel(p, r);
 	TAILQ_REMOVE(record_list(p, r), r, age);
 	RB_REMOVE(poison_records, &p->tree, r);
 	p->count--;
@@ -63,7 +63,7 @@
 
 /* Move a record to the end of the list for its number of ends. */
 static void
-record_place(struct poisons *p, struct poison_record *r)
+record_move_to_list(struct poisons *p, struct poison_record *r)
 {
 	TAILQ_REMOVE(record_list(p, r), r, age);
 	r->listed_high = record_ends(r) > 1;
@@ -71,7 +71,7 @@
 }
 
 struct poison_record *
-record_take(struct poisons *p, struct poison_id id)
+record_get(struct poisons *p, struct poison_id id)
 {
 	struct poison_record *r = record_find(p, id);
 
@@ -85,7 +85,7 @@
 	r = g_new0(struct poison_record, 1);
 	r->id = id;
 	r->served = MSEC_NEVER;
-	r->tell_at = MSEC_NEVER;
+	r->send_at = MSEC_NEVER;
 	RB_INSERT(poison_records, &p->tree, r);
 	TAILQ_INSERT_TAIL(&p->low, r, age);
 	p->count++;
@@ -110,15 +110,15 @@
 {
 	unsigned int at = POISON_ENDS;
 
-	if (r->nlives < POISON_LIVES)
+	if (r->nlives < POISON_ENDS_STORED)
 		return;
 	memmove(&r->lives[at], &r->lives[at + 1],
-	    (POISON_LIVES - at - 1) * sizeof *r->lives);
+	    (POISON_ENDS_STORED - at - 1) * sizeof *r->lives);
 	r->nlives--;
 }
 
 bool
-record_add_life(
+record_add_end(
     struct poisons *p, struct poison_record *r, uint64_t life, msec at)
 {
 	unsigned int i;
@@ -132,14 +132,14 @@
 	record_make_room(r);
 	for (i = r->nlives; i > 0 && r->lives[i - 1].at > at; i--)
 		r->lives[i] = r->lives[i - 1];
-	r->lives[i] = (struct poison_life){ life, at };
+	r->lives[i] = (struct poison_process){ life, at };
 	r->nlives++;
-	record_place(p, r);
+	record_move_to_list(p, r);
 	return true;
 }
 
 bool
-record_add_served(struct poisons *p, struct poison_record *r, msec at)
+record_add_answer(struct poisons *p, struct poison_record *r, msec at)
 {
 	unsigned int i, kept = 0;
 
@@ -153,7 +153,7 @@
 	if (kept == r->nlives)
 		return false;
 	r->nlives = kept;
-	record_place(p, r);
+	record_move_to_list(p, r);
 	return true;
 }
 
@@ -165,10 +165,10 @@
 
 	if (r->nlives < POISON_ENDS)
 		return 0;
-	first = r->lives[POISON_ENDS - 1].at + POISON_FIRST_MS;
+	first = r->lives[POISON_ENDS - 1].at + POISON_TRIAL_GRACE_MS;
 	for (i = POISON_ENDS; i < r->nlives; i++) {
 		if (r->lives[i].at > first)
-			wait *= POISON_TRIAL_TIMES;
+			wait *= POISON_TRIAL_FACTOR;
 	}
 	return r->lives[r->nlives - 1].at + wait;
 }
@@ -211,18 +211,18 @@
 {
 	struct poison_id id = { m->high, m->low };
 	struct poison_record *r;
-	bool news = false;
+	bool changed = false;
 	unsigned int i;
 
 	*found = NULL;
 	if (poison_id_is_none(id) ||
 	    (m->lives.lives_len == 0 && record_find(p, id) == NULL))
 		return false;
-	*found = r = record_take(p, id);
+	*found = r = record_get(p, id);
 	if (m->served_age_ms != POISON_AGE_NEVER)
-		news = record_add_served(p, r, now - m->served_age_ms);
+		changed = record_add_answer(p, r, now - m->served_age_ms);
 	for (i = 0; i < m->lives.lives_len; i++)
-		news |= record_add_life(p, r, m->lives.lives_val[i].life,
+		changed |= record_add_end(p, r, m->lives.lives_val[i].life,
 		    now - m->lives.lives_val[i].age_ms);
-	return news;
+	return changed;
 }
--- a/poison-share.c
+++ b/poison-share.c
@@ -11,27 +11,27 @@
 #include <xxhash.h>
 
 /* Number of times that a change is sent, as messages may be lost; interval. */
-#define SHARE_TELLS 2
-#define SHARE_AGAIN_MS 300
+#define POISON_SENDS 2
+#define POISON_RESEND_MS 300
 /* Delay after which the deputy broadcasts too, as the owner may have failed. */
-#define SHARE_DEPUTY_MS 200
+#define POISON_DEPUTY_DELAY_MS 200
 /*
  * Minimum interval between two broadcasts, per receiving node. A node that owns
  * many records takes longer to send them instead of using more bandwidth.
  */
-#define SHARE_PER_NODE_MS 1
+#define POISON_BROADCAST_PER_NODE_MS 1
 /* Interval of the periodic messages to a random node. */
-#define SHARE_SYNC_MS 500
+#define POISON_SYNC_MS 500
 
 /* A message with the memory for its records. */
-struct share_message {
+struct poison_message {
 	sp_msg msg;
 	sp_poison_record records[SAVORY_POISONS_MAX];
 	sp_poison_life lives[SAVORY_POISONS_MAX][SAVORY_LIVES_MAX];
 };
 
 static void
-message_init(struct share_message *m)
+message_init(struct poison_message *m)
 {
 	m->msg = (sp_msg){ .kind = SP_POISON_TELL };
 	m->msg.sp_msg_u.poison_tell.list.list_val = m->records;
@@ -39,7 +39,7 @@
 
 /* False: the message is full. */
 static bool
-message_add(struct share_message *m, const struct poison_record *r, msec now)
+message_add(struct poison_message *m, const struct poison_record *r, msec now)
 {
 	u_int *n = &m->msg.sp_msg_u.poison_tell.list.list_len;
 
@@ -51,18 +51,18 @@
 }
 
 static void
-message_send(struct poisons *p, struct share_message *m, name_id to)
+message_send(struct poisons *p, struct poison_message *m, name_id to)
 {
 	if (m->msg.sp_msg_u.poison_tell.list.list_len == 0 || to == p->self)
 		return;
-	p->counters.told += m->msg.sp_msg_u.poison_tell.list.list_len;
+	p->counters.records_sent += m->msg.sp_msg_u.poison_tell.list.list_len;
 	p->ops->send(p, to, &m->msg);
 }
 
 /* ---- owners ---- */
 
 static uint64_t
-share_weight(struct poison_id id, name_id node)
+poison_owner_weight(struct poison_id id, name_id node)
 {
 	uint64_t words[3] = { id.high, id.low, node };
 
@@ -71,87 +71,88 @@
 
 /* The two nodes of greatest weight, except for one node. */
 static void
-share_first(const struct poisons *p, struct poison_id id, name_id but,
-    name_id *owner, name_id *deputy)
+poison_choose_owners(const struct poisons *p, struct poison_id id,
+    name_id except, name_id *owner, name_id *deputy)
 {
-	uint64_t weight, most = 0, second = 0;
+	uint64_t weight, best_weight = 0, second_weight = 0;
 	unsigned int i;
 
 	*owner = *deputy = 0;
 	for (i = 0; i < p->nnodes; i++) {
-		if (!p->nodes[i].owns || p->nodes[i].id == but)
+		if (!p->nodes[i].may_own || p->nodes[i].id == except)
 			continue;
-		weight = share_weight(id, p->nodes[i].id);
-		if (*owner == 0 || weight > most) {
+		weight = poison_owner_weight(id, p->nodes[i].id);
+		if (*owner == 0 || weight > best_weight) {
 			*deputy = *owner;
-			second = most;
+			second_weight = best_weight;
 			*owner = p->nodes[i].id;
-			most = weight;
-		} else if (*deputy == 0 || weight > second) {
+			best_weight = weight;
+		} else if (*deputy == 0 || weight > second_weight) {
 			*deputy = p->nodes[i].id;
-			second = weight;
+			second_weight = weight;
 		}
 	}
 }
 
 void
-share_owners(const struct poisons *p, struct poison_id id, name_id *owner,
-    name_id *deputy)
+poison_share_owners(const struct poisons *p, struct poison_id id,
+    name_id *owner, name_id *deputy)
 {
-	share_first(p, id, 0, owner, deputy);
+	poison_choose_owners(p, id, 0, owner, deputy);
 	if (*owner == 0)
 		*owner = p->self;
 }
 
 /* Whether all nodes are to receive the record. */
 static bool
-record_is_wide(const struct poison_record *r)
+record_is_for_all(const struct poison_record *r)
 {
-	return r->wide || record_ends(r) > 1;
+	return r->broadcast || record_ends(r) > 1;
 }
 
 /* Set how many times a record is still to be sent, and when. */
 static void
-share_set(
-    struct poisons *p, struct poison_record *r, unsigned int tells, msec at)
+poison_share_schedule(struct poisons *p, struct poison_record *r,
+    unsigned int sends_left, msec at)
 {
-	p->untold += (tells > 0) - (r->tells > 0);
-	r->tells = tells;
-	r->tell_at = tells > 0 ? at : MSEC_NEVER;
+	p->nunsent += (sends_left > 0) - (r->sends_left > 0);
+	r->sends_left = sends_left;
+	r->send_at = sends_left > 0 ? at : MSEC_NEVER;
 }
 
 void
-share_forget(struct poisons *p, struct poison_record *r)
+poison_share_cancel(struct poisons *p, struct poison_record *r)
 {
-	share_set(p, r, 0, 0);
+	poison_share_schedule(p, r, 0, 0);
 }
 
 void
-share_changed(struct poisons *p, msec now, struct poison_record *r, bool ours)
+poison_share_changed(
+    struct poisons *p, msec now, struct poison_record *r, bool seen_here)
 {
 	name_id owner, deputy;
 
-	share_owners(p, r->id, &owner, &deputy);
-	if (ours || (p->self == owner && record_is_wide(r)))
-		share_set(p, r, SHARE_TELLS, now);
-	else if (p->self == deputy && record_is_wide(r))
-		share_set(p, r, 1, now + SHARE_DEPUTY_MS);
+	poison_share_owners(p, r->id, &owner, &deputy);
+	if (seen_here || (p->self == owner && record_is_for_all(r)))
+		poison_share_schedule(p, r, POISON_SENDS, now);
+	else if (p->self == deputy && record_is_for_all(r))
+		poison_share_schedule(p, r, 1, now + POISON_DEPUTY_DELAY_MS);
 }
 
 /* Send a record; returns true if it was sent to all nodes. */
 static bool
-share_tell(struct poisons *p, msec now, struct poison_record *r)
+poison_share_send(struct poisons *p, msec now, struct poison_record *r)
 {
-	struct share_message m;
+	struct poison_message m;
 	name_id owner, deputy;
-	bool wide = false;
+	bool broadcast = false;
 	unsigned int i;
 
-	share_owners(p, r->id, &owner, &deputy);
+	poison_share_owners(p, r->id, &owner, &deputy);
 	message_init(&m);
 	message_add(&m, r, now);
-	if ((p->self == owner || p->self == deputy) && record_is_wide(r)) {
-		wide = r->wide = true;
+	if ((p->self == owner || p->self == deputy) && record_is_for_all(r)) {
+		broadcast = r->broadcast = true;
 		for (i = 0; i < p->nnodes; i++)
 			message_send(p, &m, p->nodes[i].id);
 	} else {
@@ -159,21 +160,21 @@
 		if (deputy != 0)
 			message_send(p, &m, deputy);
 	}
-	share_set(p, r, r->tells - 1, now + SHARE_AGAIN_MS);
-	return wide;
+	poison_share_schedule(p, r, r->sends_left - 1, now + POISON_RESEND_MS);
+	return broadcast;
 }
 
 /* ---- periodic work ---- */
 
 /* Send the next few records, in the order of their ids, to a random node. */
 static void
-share_sync(struct poisons *p, msec now)
+poison_share_sync(struct poisons *p, msec now)
 {
-	struct poison_record find = { .id = p->synced }, *r;
-	struct share_message m;
+	struct poison_record find = { .id = p->sync_from }, *r;
+	struct poison_message m;
 	unsigned int left;
 
-	p->next_sync = now + SHARE_SYNC_MS;
+	p->next_sync = now + POISON_SYNC_MS;
 	if (TAILQ_EMPTY(&p->high) || p->nnodes < 2)
 		return;
 	message_init(&m);
@@ -181,54 +182,56 @@
 	for (left = p->count; left > 0; left--) {
 		if (r == NULL)
 			r = RB_MIN(poison_records, &p->tree);
-		if (record_is_wide(r) && !message_add(&m, r, now))
+		if (record_is_for_all(r) && !message_add(&m, r, now))
 			break;
 		r = RB_NEXT(poison_records, &p->tree, r);
 	}
-	p->synced = r != NULL ? r->id : (struct poison_id){ 0 };
+	p->sync_from = r != NULL ? r->id : (struct poison_id){ 0 };
 	message_send(p, &m,
 	    p->nodes[g_rand_int_range(p->rand, 0, (gint32)p->nnodes)].id);
 }
 
 /* Send the due records of a list; returns true after a broadcast. */
 static bool
-share_list(struct poisons *p, struct poison_ages *list, msec now)
+poison_share_send_due(struct poisons *p, struct poison_ages *list, msec now)
 {
 	struct poison_record *r;
 
 	TAILQ_FOREACH (r, list, age) {
-		if (now >= r->tell_at && share_tell(p, now, r))
+		if (now >= r->send_at && poison_share_send(p, now, r))
 			return true;
 	}
 	return false;
 }
 
 void
-share_tick(struct poisons *p, msec now)
+poison_share_tick(struct poisons *p, msec now)
 {
 	if (now >= p->next_sync)
-		share_sync(p, now);
-	if (p->untold == 0 || now < p->next_wide)
+		poison_share_sync(p, now);
+	if (p->nunsent == 0 || now < p->next_broadcast)
 		return;
-	if (share_list(p, &p->high, now) || share_list(p, &p->low, now))
-		p->next_wide = now + p->nnodes * SHARE_PER_NODE_MS;
+	if (poison_share_send_due(p, &p->high, now) ||
+	    poison_share_send_due(p, &p->low, now))
+		p->next_broadcast =
+		    now + p->nnodes * POISON_BROADCAST_PER_NODE_MS;
 }
 
 msec
-share_due(const struct poisons *p, msec now)
+poison_share_next(const struct poisons *p, msec now)
 {
 	const struct poison_record *r;
 	msec due = p->next_sync;
 
 	if (p->count == 0)
 		return MSEC_NEVER;
-	if (p->untold == 0)
+	if (p->nunsent == 0)
 		return due;
 	TAILQ_FOREACH (r, &p->high, age)
-		due = MIN(due, r->tell_at);
+		due = MIN(due, r->send_at);
 	TAILQ_FOREACH (r, &p->low, age)
-		due = MIN(due, r->tell_at);
-	return MAX(due, p->next_wide);
+		due = MIN(due, r->send_at);
+	return MAX(due, p->next_broadcast);
 }
 
 /* ---- nodes ---- */
@@ -251,15 +254,15 @@
  * computed without the new node.
  */
 static void
-share_node_came(struct poisons *p, msec now, name_id node)
+poison_share_send_to_new(struct poisons *p, msec now, name_id node)
 {
 	struct poison_record *r;
-	struct share_message m;
+	struct poison_message m;
 	name_id owner, deputy;
 
 	message_init(&m);
 	RB_FOREACH (r, poison_records, &p->tree) {
-		share_first(p, r->id, node, &owner, &deputy);
+		poison_choose_owners(p, r->id, node, &owner, &deputy);
 		if ((p->self != owner && p->self != deputy) ||
 		    record_ends(r) == 0)
 			continue;
@@ -277,18 +280,18 @@
     struct poisons *p, msec now, const struct poison_node *list, unsigned int n)
 {
 	struct poison_node *nodes = g_memdup2(list, n * sizeof *list);
-	struct poison_node *before = p->nodes;
-	name_id *came = g_new(name_id, MAX(n, 1));
-	unsigned int i, ncame = 0;
+	struct poison_node *old_nodes = p->nodes;
+	name_id *added = g_new(name_id, MAX(n, 1));
+	unsigned int i, nadded = 0;
 
 	for (i = 0; i < n && p->count > 0; i++) {
 		if (list[i].id != p->self && node_is_new(p, &list[i]))
-			came[ncame++] = list[i].id;
+			added[nadded++] = list[i].id;
 	}
 	p->nodes = nodes;
 	p->nnodes = n;
-	g_free(before);
-	for (i = 0; i < ncame; i++)
-		share_node_came(p, now, came[i]);
-	g_free(came);
+	g_free(old_nodes);
+	for (i = 0; i < nadded; i++)
+		poison_share_send_to_new(p, now, added[i]);
+	g_free(added);
 }
--- a/poison.c
+++ b/poison.c
@@ -11,12 +11,12 @@
 #include <xxhash.h>
 
 /* Maximum wait of a run for permission. */
-#define POISON_HOLD_MS 500
+#define POISON_WAIT_MS 500
 /* Interval and number of the requests to an owner that does not answer. */
 #define POISON_ASK_MS 50
 #define POISON_ASKS 2
 /* Time to detect and report that a server that broke off has ended. */
-#define POISON_SETTLE_MS 120
+#define POISON_SERVER_CHECK_MS 120
 /* The owner considers a run over after this time without a message. */
 #define POISON_RUN_MS (10 * MSEC_SECOND)
 
@@ -24,7 +24,7 @@
 
 /* Hash the length too, so that different field boundaries differ. */
 static void
-id_add(XXH3_state_t *s, const void *bytes, size_t n)
+hash_add(XXH3_state_t *s, const void *bytes, size_t n)
 {
 	uint64_t length = n;
 
@@ -39,11 +39,11 @@
 	XXH128_hash_t sum;
 
 	XXH3_128bits_reset_withSeed(s, XXH3_64bits(key, strlen(key)));
-	id_add(s, r->method, strlen(r->method));
-	id_add(s, r->host, strlen(r->host));
-	id_add(s, r->path, strlen(r->path));
-	id_add(s, r->caller, strlen(r->caller));
-	id_add(s, r->body, r->length);
+	hash_add(s, r->method, strlen(r->method));
+	hash_add(s, r->host, strlen(r->host));
+	hash_add(s, r->path, strlen(r->path));
+	hash_add(s, r->caller, strlen(r->caller));
+	hash_add(s, r->body, r->length);
 	sum = XXH3_128bits_digest(s);
 	XXH3_freeState(s);
 	return (struct poison_id){ sum.high64, sum.low64 };
@@ -80,7 +80,7 @@
 
 /* Whether a run of this node is granted, being released or asking the owner. */
 static bool
-is_in_hand(struct poisons *p, struct poison_id id)
+run_is_active(struct poisons *p, struct poison_id id)
 {
 	const struct poison_release *out;
 	const struct poison_run *run;
@@ -102,7 +102,7 @@
 
 /* The oldest waiting run of this node. */
 static struct poison_run *
-run_waiting(struct poisons *p, struct poison_id id)
+run_find_waiting(struct poisons *p, struct poison_id id)
 {
 	struct poison_run *run;
 
@@ -116,7 +116,7 @@
 static void
 run_count(struct poisons *p, enum poison_verdict v)
 {
-	p->counters.refused += v == POISON_NO;
+	p->counters.refused += v == POISON_CONDEMNED;
 	p->counters.held += v == POISON_HELD;
 }
 
@@ -141,7 +141,7 @@
 {
 	struct poison_run *run;
 
-	while ((run = run_waiting(p, id)) != NULL)
+	while ((run = run_find_waiting(p, id)) != NULL)
 		run_decide(p, now, run, v, false);
 }
 
@@ -165,18 +165,18 @@
 owner_grants(struct poisons *p, msec now, struct poison_record *r, name_id node,
     uint32_t seq)
 {
-	bool free = r->runner == 0 || r->runner == node ||
-		    now - r->runner_since >= POISON_RUN_MS ||
-		    !node_is_live(p, r->runner);
+	bool free = r->granted_node == 0 || r->granted_node == node ||
+		    now - r->granted_since >= POISON_RUN_MS ||
+		    !node_is_live(p, r->granted_node);
 
 	if (!free)
 		return false;
 	if (record_ends(r) >= POISON_ENDS &&
-	    (r->runner != node || r->runner_seq != seq))
+	    (r->granted_node != node || r->granted_seq != seq))
 		p->counters.trials++;
-	r->runner = node;
-	r->runner_seq = seq;
-	r->runner_since = now;
+	r->granted_node = node;
+	r->granted_seq = seq;
+	r->granted_since = now;
 	return true;
 }
 
@@ -186,8 +186,8 @@
 {
 	struct poison_record *r = record_find(p, id);
 
-	if (r != NULL && r->runner == node && r->runner_seq == seq)
-		r->runner = 0;
+	if (r != NULL && r->granted_node == node && r->granted_seq == seq)
+		r->granted_node = 0;
 }
 
 static void
@@ -198,7 +198,7 @@
 	sp_poison_life lives[SAVORY_LIVES_MAX];
 
 	run->asked = now;
-	run->asks++;
+	run->unanswered_asks++;
 	p->counters.asked++;
 	msg.sp_msg_u.poison_ask.seq = run->seq;
 	record_encode(r, now, &msg.sp_msg_u.poison_ask.record, lives);
@@ -207,16 +207,16 @@
 
 /* Request permission for a run; true: granted at once. */
 static bool
-run_begin(struct poisons *p, msec now, struct poison_run *run,
+run_ask_owner(struct poisons *p, msec now, struct poison_run *run,
     struct poison_record *r)
 {
 	name_id deputy;
 
-	share_owners(p, run->id, &run->owner, &deputy);
+	poison_share_owners(p, run->id, &run->owner, &deputy);
 	if (++p->seq == 0)
 		p->seq = 1;
 	run->seq = p->seq;
-	run->asks = 0;
+	run->unanswered_asks = 0;
 	if (run->owner == p->self)
 		return owner_grants(p, now, r, p->self, run->seq);
 	run_send_ask(p, now, run);
@@ -225,17 +225,17 @@
 
 /* Let the next waiting run of this node proceed, if no other is active. */
 static void
-runs_go_on(struct poisons *p, msec now, struct poison_id id)
+runs_resume(struct poisons *p, msec now, struct poison_id id)
 {
-	struct poison_run *run = run_waiting(p, id);
+	struct poison_run *run = run_find_waiting(p, id);
 	struct poison_record *r = record_find(p, id);
 
-	if (run == NULL || p->closed || is_in_hand(p, id))
+	if (run == NULL || p->closed || run_is_active(p, id))
 		return;
 	if (r == NULL || record_ends(r) == 0)
-		runs_decide(p, now, id, POISON_GO);
-	else if (run_begin(p, now, run, r))
-		run_decide(p, now, run, POISON_GO, true);
+		runs_decide(p, now, id, POISON_SEND);
+	else if (run_ask_owner(p, now, run, r))
+		run_decide(p, now, run, POISON_SEND, true);
 }
 
 enum poison_verdict
@@ -244,17 +244,17 @@
 	struct poison_record *r = record_find(p, run->id);
 
 	if (run->granted || r == NULL || record_ends(r) == 0)
-		return POISON_GO;
+		return POISON_SEND;
 	if (record_is_condemned(r, now)) {
-		run_count(p, POISON_NO);
-		return POISON_NO;
+		run_count(p, POISON_CONDEMNED);
+		return POISON_CONDEMNED;
 	}
 	run->owner = 0;
 	run->since = now;
-	if (!is_in_hand(p, run->id) && run_begin(p, now, run, r)) {
+	if (!run_is_active(p, run->id) && run_ask_owner(p, now, run, r)) {
 		run->granted = true;
 		TAILQ_INSERT_TAIL(&p->granted, run, entry);
-		return POISON_GO;
+		return POISON_SEND;
 	}
 	run->waiting = true;
 	TAILQ_INSERT_TAIL(&p->waiting, run, entry);
@@ -286,7 +286,7 @@
 	*out = (struct poison_release){ .id = run->id,
 		.owner = run->owner,
 		.seq = run->seq,
-		.due = now + POISON_SETTLE_MS };
+		.due = now + POISON_SERVER_CHECK_MS };
 	TAILQ_INSERT_TAIL(&p->releases, out, entry);
 }
 
@@ -298,7 +298,7 @@
 	TAILQ_REMOVE(&p->releases, out, entry);
 	release_send(p, id, out->owner, out->seq);
 	g_free(out);
-	runs_go_on(p, now, id);
+	runs_resume(p, now, id);
 }
 
 /* All releases have the same delay, so the list is sorted by due time. */
@@ -314,7 +314,7 @@
 }
 
 void
-poison_settled(struct poisons *p, msec now, struct poison_id id)
+poison_server_checked(struct poisons *p, msec now, struct poison_id id)
 {
 	struct poison_release *out;
 
@@ -327,7 +327,7 @@
 }
 
 void
-poison_end(struct poisons *p, msec now, struct poison_run *run, bool broke)
+poison_run_end(struct poisons *p, msec now, struct poison_run *run, bool broke)
 {
 	struct poison_id id = run->id;
 
@@ -339,7 +339,7 @@
 	else
 		release_send(p, id, run->owner, run->seq);
 	run->waiting = run->granted = false;
-	runs_go_on(p, now, id);
+	runs_resume(p, now, id);
 }
 
 /* ---- evidence ---- */
@@ -347,51 +347,52 @@
 /* A record has changed: the request may now be condemned or cleared. */
 static void
 record_changed(struct poisons *p, msec now, struct poison_record *r,
-    unsigned int before, bool ours)
+    unsigned int ends_before, bool seen_here)
 {
 	unsigned int ends = record_ends(r);
 	struct poison_id id = r->id;
 
-	share_changed(p, now, r, ours);
-	if (ends >= POISON_ENDS && before < POISON_ENDS) {
+	poison_share_changed(p, now, r, seen_here);
+	if (ends >= POISON_ENDS && ends_before < POISON_ENDS) {
 		p->counters.condemned++;
-		runs_decide(p, now, id, POISON_NO);
+		runs_decide(p, now, id, POISON_CONDEMNED);
 		p->ops->condemned(p, id, now);
-	} else if (ends == 0 && before > 0) {
-		runs_decide(p, now, id, POISON_GO);
+	} else if (ends == 0 && ends_before > 0) {
+		runs_decide(p, now, id, POISON_SEND);
 	}
 }
 
 void
-poison_ended(struct poisons *p, msec now, struct poison_id id, uint64_t life)
+poison_server_ended(
+    struct poisons *p, msec now, struct poison_id id, uint64_t life)
 {
 	struct poison_record *r;
-	unsigned int before;
+	unsigned int ends_before;
 
 	if (poison_id_is_none(id))
 		return;
-	r = record_take(p, id);
-	before = record_ends(r);
+	r = record_get(p, id);
+	ends_before = record_ends(r);
 	p->counters.ends++;
-	if (record_add_life(p, r, life, now))
-		record_changed(p, now, r, before, true);
+	if (record_add_end(p, r, life, now))
+		record_changed(p, now, r, ends_before, true);
 }
 
 void
-poison_served(struct poisons *p, msec now, struct poison_id id)
+poison_answered(struct poisons *p, msec now, struct poison_id id)
 {
 	struct poison_record *r = record_find(p, id);
-	unsigned int before;
+	unsigned int ends_before;
 
-	if (r == NULL || (before = record_ends(r)) == 0)
+	if (r == NULL || (ends_before = record_ends(r)) == 0)
 		return;
 	p->counters.cleared++;
-	if (record_add_served(p, r, now))
-		record_changed(p, now, r, before, true);
+	if (record_add_answer(p, r, now))
+		record_changed(p, now, r, ends_before, true);
 }
 
 unsigned int
-poison_ends(struct poisons *p, struct poison_id id)
+poison_count_ends(struct poisons *p, struct poison_id id)
 {
 	const struct poison_record *r = record_find(p, id);
 
@@ -407,7 +408,7 @@
 }
 
 msec
-poison_trial_in(struct poisons *p, msec now, struct poison_id id)
+poison_trial_delay(struct poisons *p, msec now, struct poison_id id)
 {
 	const struct poison_record *r = record_find(p, id);
 
@@ -417,18 +418,18 @@
 /* ---- messages ---- */
 
 static void
-take_record(struct poisons *p, msec now, const sp_poison_record *m)
+handle_record(struct poisons *p, msec now, const sp_poison_record *m)
 {
 	struct poison_id id = { m->high, m->low };
-	unsigned int before = poison_ends(p, id);
+	unsigned int ends_before = poison_count_ends(p, id);
 	struct poison_record *r;
 
 	if (record_merge(p, now, m, &r))
-		record_changed(p, now, r, before, false);
+		record_changed(p, now, r, ends_before, false);
 }
 
 static void
-take_ask(struct poisons *p, msec now, name_id from, const sp_poison_ask *ask)
+handle_ask(struct poisons *p, msec now, name_id from, const sp_poison_ask *ask)
 {
 	struct poison_id id = { ask->record.high, ask->record.low };
 	sp_msg msg = { .kind = SP_POISON_ANSWER };
@@ -436,7 +437,7 @@
 	sp_poison_life lives[SAVORY_LIVES_MAX];
 	struct poison_record *r;
 
-	take_record(p, now, &ask->record);
+	handle_record(p, now, &ask->record);
 	if ((r = record_find(p, id)) == NULL)
 		return;
 	a->seq = ask->seq;
@@ -451,7 +452,7 @@
 }
 
 static void
-take_answer(
+handle_answer(
     struct poisons *p, msec now, name_id from, const sp_poison_answer *a)
 {
 	struct poison_run *run;
@@ -462,12 +463,12 @@
 	}
 	if (run == NULL)
 		return;
-	run->asks = 0;
+	run->unanswered_asks = 0;
 	if (a->verdict == SP_POISON_GO)
-		run_decide(p, now, run, POISON_GO, true);
+		run_decide(p, now, run, POISON_SEND, true);
 	else if (a->verdict == SP_POISON_NO)
-		run_decide(p, now, run, POISON_NO, false);
-	take_record(p, now, &a->record);
+		run_decide(p, now, run, POISON_CONDEMNED, false);
+	handle_record(p, now, &a->record);
 }
 
 void
@@ -480,13 +481,13 @@
 	switch (msg->kind) {
 	case SP_POISON_TELL:
 		for (i = 0; i < t->list.list_len; i++)
-			take_record(p, now, &t->list.list_val[i]);
+			handle_record(p, now, &t->list.list_val[i]);
 		break;
 	case SP_POISON_ASK:
-		take_ask(p, now, from, &msg->sp_msg_u.poison_ask);
+		handle_ask(p, now, from, &msg->sp_msg_u.poison_ask);
 		break;
 	case SP_POISON_ANSWER:
-		take_answer(p, now, from, &msg->sp_msg_u.poison_answer);
+		handle_answer(p, now, from, &msg->sp_msg_u.poison_answer);
 		break;
 	case SP_POISON_DONE:
 		owner_releases(
@@ -504,13 +505,13 @@
  * probably harmless and is sent; after more it would probably end a server.
  */
 static void
-run_alone(struct poisons *p, msec now, struct poison_run *run)
+run_decide_alone(struct poisons *p, msec now, struct poison_run *run)
 {
-	bool go = poison_ends(p, run->id) <= 1;
+	bool go = poison_count_ends(p, run->id) <= 1;
 
-	p->counters.alone++;
+	p->counters.decided_alone++;
 	run->owner = 0;
-	run_decide(p, now, run, go ? POISON_GO : POISON_HELD, go);
+	run_decide(p, now, run, go ? POISON_SEND : POISON_HELD, go);
 }
 
 /* Returns true if the list of waiting runs may have changed. */
@@ -519,27 +520,28 @@
 {
 	struct poison_record *r = record_find(p, run->id);
 
-	if (now - run->since >= POISON_HOLD_MS) {
+	if (now - run->since >= POISON_WAIT_MS) {
 		release_send(p, run->id, run->owner, run->seq);
 		run_decide(p, now, run, POISON_HELD, false);
 		return true;
 	}
 	if (run->owner == 0) {
-		if (run_waiting(p, run->id) != run || is_in_hand(p, run->id))
+		if (run_find_waiting(p, run->id) != run ||
+		    run_is_active(p, run->id))
 			return false;
-		runs_go_on(p, now, run->id);
+		runs_resume(p, now, run->id);
 		return true;
 	}
 	if (run->owner == p->self) {
 		if (r == NULL || !owner_grants(p, now, r, p->self, run->seq))
 			return false;
-		run_decide(p, now, run, POISON_GO, true);
+		run_decide(p, now, run, POISON_SEND, true);
 		return true;
 	}
 	if (now - run->asked < POISON_ASK_MS)
 		return false;
-	if (run->asks >= POISON_ASKS) {
-		run_alone(p, now, run);
+	if (run->unanswered_asks >= POISON_ASKS) {
+		run_decide_alone(p, now, run);
 		return true;
 	}
 	run_send_ask(p, now, run);
@@ -556,9 +558,9 @@
 	while (again) {
 		again = false;
 		TAILQ_FOREACH (run, &p->waiting, entry) {
-			if (now < run->looked || !run->waiting)
+			if (now < run->next_check || !run->waiting)
 				continue;
-			run->looked = now + POISON_ASK_MS;
+			run->next_check = now + POISON_ASK_MS;
 			if (run_tick(p, now, run)) {
 				again = true;
 				break;
@@ -574,8 +576,8 @@
 
 	releases_tick(p, now);
 	runs_tick(p, now);
-	share_tick(p, now);
-	due = share_due(p, now);
+	poison_share_tick(p, now);
+	due = poison_share_next(p, now);
 	if (!TAILQ_EMPTY(&p->releases))
 		due = MIN(due, TAILQ_FIRST(&p->releases)->due);
 	if (!TAILQ_EMPTY(&p->waiting))
--- a/poison.h
+++ b/poison.h
@@ -55,7 +55,7 @@
 /* Server processes that a request ends before it is condemned. */
 #define POISON_ENDS 3
 /* Maximum number of ends in a record: the first and the newest ones. */
-#define POISON_LIVES 8
+#define POISON_ENDS_STORED 8
 /*
  * Maximum number of records. The oldest record with at most one end is evicted
  * first, then the oldest one.
@@ -64,15 +64,15 @@
 
 /* Whether a request may be sent to a server. */
 enum poison_verdict {
-	POISON_GO,
-	POISON_WAIT, /* not decided yet; decided() follows */
-	POISON_HELD, /* no decision in time, do not send */
-	POISON_NO    /* condemned */
+	POISON_SEND,
+	POISON_WAIT,	 /* not decided yet; decided() follows */
+	POISON_HELD,	 /* no decision in time, do not send */
+	POISON_CONDEMNED /* condemned */
 };
 const char *poison_verdict_name(enum poison_verdict);
 
 /* A server process that ended. */
-struct poison_life {
+struct poison_process {
 	uint64_t life; /* identifies the process */
 	msec at;
 };
@@ -82,18 +82,19 @@
 	RB_ENTRY(poison_record) entry;
 	TAILQ_ENTRY(poison_record) age; /* newest last */
 	struct poison_id id;
-	struct poison_life lives[POISON_LIVES]; /* since `served`, by time */
+	struct poison_process
+	    lives[POISON_ENDS_STORED]; /* since `served`, by time */
 	unsigned int nlives;
 	msec served;	  /* last complete answer; MSEC_NEVER: never */
 	bool listed_high; /* which list of struct poisons it is in */
 	/* Number of times it is still to be sent to others, and when. */
-	unsigned int tells;
-	msec tell_at;
-	bool wide; /* it was sent to all nodes */
+	unsigned int sends_left;
+	msec send_at;
+	bool broadcast; /* it was sent to all nodes */
 	/* On the owner: the node that may send the request now. */
-	name_id runner; /* 0: none */
-	uint32_t runner_seq;
-	msec runner_since;
+	name_id granted_node; /* 0: none */
+	uint32_t granted_seq;
+	msec granted_since;
 };
 RB_HEAD(poison_records, poison_record);
 TAILQ_HEAD(poison_ages, poison_record);
@@ -108,10 +109,11 @@
 	bool granted; /* it may be sent, as the only one */
 	name_id owner;
 	uint32_t seq;
-	unsigned int asks; /* number of unanswered SP_POISON_ASK messages */
-	msec asked;	   /* time of the last one */
-	msec since;	   /* start of the wait */
-	msec looked;	   /* next check */
+	unsigned int
+	    unanswered_asks; /* number of unanswered SP_POISON_ASK messages */
+	msec asked;	     /* time of the last one */
+	msec since;	     /* start of the wait */
+	msec next_check;     /* next check */
 };
 TAILQ_HEAD(poison_runs, poison_run);
 
@@ -142,7 +144,7 @@
 struct poison_node {
 	name_id id;
 	uint64_t incarnation;
-	bool owns; /* may be an owner: has taken work for some time */
+	bool may_own; /* may be an owner: has taken work for some time */
 };
 
 /* Counters; none ever decreases. */
@@ -152,10 +154,10 @@
 	uint64_t cleared;	/* suspects, by a complete answer */
 	uint64_t refused, held; /* runs that were not sent */
 	uint64_t asked;		/* SP_POISON_ASK messages sent */
-	uint64_t alone;		/* decisions without the owner's answer */
+	uint64_t decided_alone; /* decisions without the owner's answer */
 	uint64_t trials;	/* permitted as owner */
 	uint64_t dropped;	/* evicted records */
-	uint64_t told;		/* records sent to other nodes */
+	uint64_t records_sent;	/* records sent to other nodes */
 };
 
 /* State of the local node; allocated by the caller. */
@@ -167,16 +169,16 @@
 	/* Records with at most one end, and with more; oldest first. */
 	struct poison_ages low, high;
 	unsigned int count;
-	bool closed;	     /* see poisons_close() */
-	unsigned int untold; /* records still to be sent to other nodes */
+	bool closed;	      /* see poisons_close() */
+	unsigned int nunsent; /* records still to be sent to other nodes */
 	struct poison_runs waiting, granted;
 	struct poison_releases releases;
 	struct poison_node *nodes;
 	unsigned int nnodes;
 	uint32_t seq;
 	msec next_sync;
-	msec next_wide;		 /* earliest time of the next broadcast */
-	struct poison_id synced; /* where the next periodic message starts */
+	msec next_broadcast;	    /* earliest time of the next broadcast */
+	struct poison_id sync_from; /* where the next periodic message starts */
 	struct poison_counters counters;
 	void *arg; /* for the caller's use */
 };
@@ -193,27 +195,28 @@
 
 /*
  * Request permission to send a run to a server. POISON_WAIT: decided() follows,
- * unless poison_end() is called first. A granted run keeps its permission.
+ * unless poison_run_end() is called first. A granted run keeps its permission.
  */
 enum poison_verdict poison_ask(struct poisons *, msec, struct poison_run *);
 /*
  * A run has ended or was cancelled. Must not be called for the same run from
  * decided(). `broke`: its server closed the connection. Then the next run waits
- * until poison_settled() or a timeout, as the server may have ended.
+ * until poison_server_checked() or a timeout, as the server may have ended.
  */
-void poison_end(struct poisons *, msec, struct poison_run *, bool broke);
+void poison_run_end(struct poisons *, msec, struct poison_run *, bool broke);
 /* It is now known whether the server that broke off has ended. */
-void poison_settled(struct poisons *, msec, struct poison_id);
+void poison_server_checked(struct poisons *, msec, struct poison_id);
 /* A server process ended while it was executing the request. */
-void poison_ended(struct poisons *, msec, struct poison_id, uint64_t life);
+void
+poison_server_ended(struct poisons *, msec, struct poison_id, uint64_t life);
 /* A server answered the request completely. */
-void poison_served(struct poisons *, msec, struct poison_id);
+void poison_answered(struct poisons *, msec, struct poison_id);
 /* Whether the request is condemned and no trial is due. */
 bool poison_is_condemned(struct poisons *, msec, struct poison_id);
 /* Number of server ends in the request's record. */
-unsigned int poison_ends(struct poisons *, struct poison_id);
+unsigned int poison_count_ends(struct poisons *, struct poison_id);
 /* Time in ms until a trial of a condemned request is permitted; 0: now. */
-msec poison_trial_in(struct poisons *, msec, struct poison_id);
+msec poison_trial_delay(struct poisons *, msec, struct poison_id);
 /* Handle an SP_POISON_* message from a node. */
 void poisons_receive(struct poisons *, msec, name_id, const sp_msg *);
 /* Run due work. Returns the time of the next call. */
--- a/savorypierd.c
+++ b/savorypierd.c
@@ -102,7 +102,7 @@
 		return false;
 	}
 	d->joins = join_table_new();
-	ticket_book_init(&d->tickets, d->settings.node, d->incarnation,
+	ticket_registry_init(&d->tickets, d->settings.node, d->incarnation,
 	    d->settings.peer_key);
 	if ((d->fetch = fetch_thread_start(d)) == NULL)
 		return false;
@@ -151,7 +151,7 @@
 	fetch_thread_stop(d->fetch);
 	main_drop_events(d);
 	join_table_free(d->joins);
-	ticket_book_finish(&d->tickets);
+	ticket_registry_finish(&d->tickets);
 	daemon_peers_finish(d);
 	daemon_placement_finish(d);
 	daemon_docs_finish(d);
--- a/share.c
+++ b/share.c
@@ -19,22 +19,23 @@
 #define SHARE_WINDOW ((msec)250)
 /*
  * The share is the minimum of the targets over this many periods: the current
- * one, and the ones before it that add up to SHARE_RAISE.
+ * one, and the ones before it that add up to SHARE_RAISE_DELAY.
  */
-#define SHARE_STRETCHES 4
-#define SHARE_STRETCH (SHARE_RAISE / (SHARE_STRETCHES - 1))
+#define SHARE_PERIODS 4
+#define SHARE_PERIOD (SHARE_RAISE_DELAY / (SHARE_PERIODS - 1))
 /*
  * Loan requests per window. For one limit: the number of nodes divided by
- * SHARE_ASKS_IN, as more nodes have smaller shares, but at least
- * SHARE_ASKS_LEAST. For all limits together: SHARE_ASKS_MAX.
+ * SHARE_NODES_PER_ASK, as more nodes have smaller shares, but at least
+ * SHARE_ASKS_MIN. For all limits together: SHARE_ASKS_MAX.
  */
-#define SHARE_ASKS_IN 16
-#define SHARE_ASKS_LEAST 2
+#define SHARE_NODES_PER_ASK 16
+#define SHARE_ASKS_MIN 2
 #define SHARE_ASKS_MAX 8
 /* Random choices of a lender before all nodes are scanned. */
-#define SHARE_DRAWS 8
-/* The windows between unanswered requests double up to 1 << SHARE_VAIN_MAX. */
-#define SHARE_VAIN_MAX 3
+#define SHARE_RANDOM_TRIES 8
+/* The windows between unanswered requests double up to 1 << SHARE_BACKOFF_MAX.
+ */
+#define SHARE_BACKOFF_MAX 3
 /* Organisations idle for this long are removed from memory. */
 #define SHARE_IDLE (60 * MSEC_SECOND)
 
@@ -49,35 +50,36 @@
 TAILQ_HEAD(share_loan_list, share_loan);
 
 /* A loan from another node, or a request for one. */
-struct share_debt {
-	TAILQ_ENTRY(share_debt) entry;
+struct share_borrowing {
+	TAILQ_ENTRY(share_borrowing) entry;
 	name_id node;
 	int64_t amount;
 	msec until;
 	uint32_t seq; /* of the last request */
 	msec asked;   /* time of the last request */
 };
-TAILQ_HEAD(share_debt_list, share_debt);
+TAILQ_HEAD(share_borrowing_list, share_borrowing);
 
 /* One limit of one organisation. */
 struct share_part {
 	int64_t limit;	/* 0: none */
 	int64_t target; /* this node's part of the limit */
 	/* Minimum target in each period; [0] is the current one. */
-	int64_t least[SHARE_STRETCHES];
-	uint64_t owners_to; /* nodes up to this rank have a share */
-	unsigned int vain;  /* windows with requests since the last loan */
-	unsigned int wait;  /* windows until the next request */
-	bool asked;	    /* a loan was requested in this window */
+	int64_t min_targets[SHARE_PERIODS];
+	uint64_t max_owner_rank; /* nodes up to this rank have a share */
+	unsigned int
+	    failed_windows;   /* windows with requests since the last loan */
+	unsigned int backoff; /* windows until the next request */
+	bool asked;	      /* a loan was requested in this window */
 	struct share_loan_list loans;
-	struct share_debt_list debts;
+	struct share_borrowing_list borrowings;
 	int64_t lent, borrowed;
 	/* For rates. */
-	int64_t level;	    /* of the token bucket */
-	int64_t level_rest; /* fraction of `level`, in 1/1000 of its unit */
-	msec filled;	    /* time of the last fill */
-	int64_t tried;	    /* demand in this window; in flight: refused only */
-	int64_t rate;	    /* smoothed demand per second */
+	int64_t level;		/* of the token bucket */
+	int64_t level_fraction; /* fraction of `level`, in 1/1000 of its unit */
+	msec filled;		/* time of the last fill */
+	int64_t demand; /* demand in this window; in flight: refused only */
+	int64_t rate;	/* smoothed demand per second */
 	/* For work in flight. */
 	int64_t used;
 	int64_t peak;	   /* maximum of `used` in this window */
@@ -101,10 +103,10 @@
 	GArray *nodes; /* name_id, sorted */
 	bool takes_work;
 	/* Maximum number of nodes in each period; [0] is the current one. */
-	unsigned int most[SHARE_STRETCHES];
-	unsigned int
-	    young; /* periods in which shares are limited by start-up */
-	msec next_stretch;
+	unsigned int max_nodes[SHARE_PERIODS];
+	unsigned int startup_periods; /* periods in which shares are limited by
+					 start-up */
+	msec next_period;
 	msec next_window;
 	uint32_t seq;
 	unsigned int asks_left; /* in this window, for all limits */
@@ -113,26 +115,27 @@
 static int share_org_compare(struct share_org *, struct share_org *);
 static gint share_id_compare(gconstpointer, gconstpointer);
 static uint64_t share_rank(const struct share_org *, name_id);
-static void share_owners(
+static void share_set_owner_rank(
     const struct share_data *, const struct share_org *, struct share_part *);
 static void
-share_retarget(struct share_data *, struct share_org *, unsigned int);
+share_update_target(struct share_data *, struct share_org *, unsigned int);
 static int64_t share_base(const struct share_part *);
 static int64_t share_allowance(struct share_part *, msec);
-static bool share_lapses_within(const struct share_debt *, msec, msec);
-static msec share_renew_within(enum share_kind);
-static int64_t share_lasting(struct share_part *, msec);
-static void share_lapse(struct share_part *, msec);
-static void share_fill(struct share_part *, enum share_kind, msec);
+static bool share_expires_within(const struct share_borrowing *, msec, msec);
+static msec share_renewal_time(enum share_kind);
+static int64_t share_lasting_allowance(struct share_part *, msec);
+static void share_expire_loans(struct share_part *, msec);
+static void share_fill_bucket(struct share_part *, enum share_kind, msec);
 static struct share_org *share_org_get(struct shares *, msec, name_id, name_id);
 static void share_org_free(struct share_data *, struct share_org *);
-static void share_begin(struct share_data *, struct share_org *, unsigned int);
+static void
+share_init_targets(struct share_data *, struct share_org *, unsigned int);
 static void share_set_limits(
     struct share_data *, struct share_org *, msec, const struct doc_limits *);
 static bool share_is_idle(const struct share_org *, msec);
 static bool share_has_room(struct share_part *, enum share_kind, msec);
-static void share_next_stretch(struct share_data *);
-static void share_next_window(struct shares *, msec, struct share_org *);
+static void share_begin_period(struct share_data *);
+static void share_begin_window(struct shares *, msec, struct share_org *);
 static int64_t share_shortage(struct share_part *, enum share_kind, msec, bool);
 static bool share_is_lender(const struct share_data *, const struct share_org *,
     const struct share_part *, name_id);
@@ -140,12 +143,13 @@
     struct share_data *, const struct share_org *, const struct share_part *);
 static name_id share_pick_lender(
     struct share_data *, const struct share_org *, unsigned int, msec);
+static void share_request_loan(
+    struct shares *, msec, struct share_org *, enum share_kind, name_id);
 static void
-share_ask(struct shares *, msec, struct share_org *, enum share_kind, name_id);
-static void
-share_ask_some(struct shares *, msec, struct share_org *, enum share_kind);
+share_request_loans(struct shares *, msec, struct share_org *, enum share_kind);
 static void share_lend(struct shares *, msec, name_id, const sp_share *);
-static void share_borrowed(struct shares *, msec, name_id, const sp_share *);
+static void
+share_receive_loan(struct shares *, msec, name_id, const sp_share *);
 
 RB_PROTOTYPE(share_org_tree, share_org, entry, share_org_compare)
 RB_GENERATE(share_org_tree, share_org, entry, share_org_compare)
@@ -186,8 +190,8 @@
 	 * still be in use, and other nodes may not know yet that it is back. So
 	 * each share starts at 0 and is raised with the usual delay.
 	 */
-	d->young = SHARE_STRETCHES;
-	d->next_stretch = now + SHARE_STRETCH;
+	d->startup_periods = SHARE_PERIODS;
+	d->next_period = now + SHARE_PERIOD;
 	d->next_window = now + SHARE_WINDOW;
 	d->asks_left = SHARE_ASKS_MAX;
 	/* Random, so answers to the previous process do not match. */
@@ -227,70 +231,71 @@
 
 /* Compute the highest rank among the nodes that get one unit more. */
 static void
-share_owners(const struct share_data *d, const struct share_org *o,
+share_set_owner_rank(const struct share_data *d, const struct share_org *o,
     struct share_part *part)
 {
 	unsigned int n = d->nodes->len, i, rest;
 	g_autofree uint64_t *ranks = NULL;
 
-	part->owners_to = 0;
+	part->max_owner_rank = 0;
 	if (n == 0 || (rest = part->limit / SHARE_UNIT % n) == 0)
 		return;
 	ranks = g_new(uint64_t, n);
 	for (i = 0; i < n; i++)
 		ranks[i] = share_rank(o, g_array_index(d->nodes, name_id, i));
 	qsort(ranks, n, sizeof *ranks, share_id_compare);
-	part->owners_to = ranks[rest - 1];
+	part->max_owner_rank = ranks[rest - 1];
 }
 
 static void
-share_retarget(struct share_data *d, struct share_org *o, unsigned int kind)
+share_update_target(
+    struct share_data *d, struct share_org *o, unsigned int kind)
 {
 	struct share_part *part = &o->parts[kind];
 	unsigned int n = d->nodes->len;
 
 	part->target = 0;
-	part->owners_to = 0;
+	part->max_owner_rank = 0;
 	if (n > 0 && kind == SHARE_TOKENS) {
-		part->owners_to = UINT64_MAX;
+		part->max_owner_rank = UINT64_MAX;
 		part->target = part->limit / n;
 	} else if (n > 0) {
-		share_owners(d, o, part);
+		share_set_owner_rank(d, o, part);
 		part->target = part->limit / SHARE_UNIT / n * SHARE_UNIT;
-		if (part->owners_to != 0 &&
-		    share_rank(o, d->self) <= part->owners_to)
+		if (part->max_owner_rank != 0 &&
+		    share_rank(o, d->self) <= part->max_owner_rank)
 			part->target += SHARE_UNIT;
 		if (part->limit / SHARE_UNIT >= n)
-			part->owners_to = UINT64_MAX;
+			part->max_owner_rank = UINT64_MAX;
 	}
 	if (!d->takes_work)
 		part->target = 0;
-	part->least[0] = MIN(part->least[0], part->target);
+	part->min_targets[0] = MIN(part->min_targets[0], part->target);
 }
 
 /*
  * Nodes may disagree about which of them take work: a node that another
  * considers dead may be alive, and a new node may use its share before all
  * others have reduced theirs. The shares would then add up to more than the
- * limit. The minimum target of the last SHARE_RAISE keeps the smaller share
- * until the nodes agree and loans made from a larger share have expired.
+ * limit. The minimum target of the last SHARE_RAISE_DELAY keeps the smaller
+ * share until the nodes agree and loans made from a larger share have expired.
  */
 static int64_t
 share_base(const struct share_part *part)
 {
-	int64_t base = part->least[0];
+	int64_t base = part->min_targets[0];
 	unsigned int i;
 
-	for (i = 1; i < SHARE_STRETCHES; i++)
-		base = MIN(base, part->least[i]);
+	for (i = 1; i < SHARE_PERIODS; i++)
+		base = MIN(base, part->min_targets[i]);
 	return base;
 }
 
 static void
-share_lapse(struct share_part *part, msec now)
+share_expire_loans(struct share_part *part, msec now)
 {
 	struct share_loan *loan, *loan_next;
-	struct share_debt *debt, *debt_next;
+	struct share_borrowing *borrowing, *borrowing_next;
 
 	TAILQ_FOREACH_SAFE (loan, &part->loans, entry, loan_next) {
 		if (now < loan->until)
@@ -299,34 +304,37 @@
 		TAILQ_REMOVE(&part->loans, loan, entry);
 		g_free(loan);
 	}
-	TAILQ_FOREACH_SAFE (debt, &part->debts, entry, debt_next) {
-		if (now >= debt->until) {
-			part->borrowed -= debt->amount;
-			debt->amount = 0;
+	TAILQ_FOREACH_SAFE (
+	    borrowing, &part->borrowings, entry, borrowing_next) {
+		if (now >= borrowing->until) {
+			part->borrowed -= borrowing->amount;
+			borrowing->amount = 0;
 		}
-		if (now < debt->until || now < debt->asked + SHARE_LOAN)
+		if (now < borrowing->until ||
+		    now < borrowing->asked + SHARE_LOAN_TERM)
 			continue;
-		TAILQ_REMOVE(&part->debts, debt, entry);
-		g_free(debt);
+		TAILQ_REMOVE(&part->borrowings, borrowing, entry);
+		g_free(borrowing);
 	}
 }
 
 static int64_t
 share_allowance(struct share_part *part, msec now)
 {
-	share_lapse(part, now);
+	share_expire_loans(part, now);
 	return MAX(0, share_base(part) - part->lent + part->borrowed);
 }
 
 static bool
-share_lapses_within(const struct share_debt *debt, msec now, msec span)
+share_expires_within(
+    const struct share_borrowing *borrowing, msec now, msec span)
 {
-	return debt->amount > 0 && now >= debt->until - span;
+	return borrowing->amount > 0 && now >= borrowing->until - span;
 }
 
 /* Time before expiry at which loans are renewed; in flight allows retries. */
 static msec
-share_renew_within(enum share_kind kind)
+share_renewal_time(enum share_kind kind)
 {
 	return kind == SHARE_IN_FLIGHT ? 5 * SHARE_WINDOW : 2 * SHARE_WINDOW;
 }
@@ -339,21 +347,21 @@
  * is renewed in the remaining time.
  */
 static int64_t
-share_lasting(struct share_part *part, msec now)
+share_lasting_allowance(struct share_part *part, msec now)
 {
 	int64_t lasting = share_allowance(part, now);
-	const struct share_debt *debt;
+	const struct share_borrowing *borrowing;
 
-	TAILQ_FOREACH (debt, &part->debts, entry) {
-		if (share_lapses_within(debt, now, 3 * SHARE_WINDOW))
-			lasting -= debt->amount;
+	TAILQ_FOREACH (borrowing, &part->borrowings, entry) {
+		if (share_expires_within(borrowing, now, 3 * SHARE_WINDOW))
+			lasting -= borrowing->amount;
 	}
 	return lasting;
 }
 
 /* Fill the token bucket for the time since the last fill. */
 static void
-share_fill(struct share_part *part, enum share_kind kind, msec now)
+share_fill_bucket(struct share_part *part, enum share_kind kind, msec now)
 {
 	int64_t rate = share_allowance(part, now), depth;
 
@@ -363,9 +371,9 @@
 	 * request. */
 	depth =
 	    kind == SHARE_REQUESTS && rate > 0 ? MAX(rate, SHARE_UNIT) : rate;
-	part->level_rest += rate * (now - part->filled);
-	part->level += part->level_rest / 1000;
-	part->level_rest %= 1000;
+	part->level_fraction += rate * (now - part->filled);
+	part->level += part->level_fraction / 1000;
+	part->level_fraction %= 1000;
 	part->level = MIN(part->level, MAX(depth, 0));
 	part->filled = now;
 }
@@ -376,7 +384,7 @@
 	unsigned int i;
 
 	for (i = 0; i < SHARE_KINDS; i++)
-		share_lapse(&o->parts[i], MSEC_NEVER);
+		share_expire_loans(&o->parts[i], MSEC_NEVER);
 	RB_REMOVE(share_org_tree, &d->orgs, o);
 	d->norgs--;
 	g_free(o);
@@ -387,22 +395,23 @@
  * had been divided among the highest recent number of nodes.
  */
 static void
-share_begin(struct share_data *d, struct share_org *o, unsigned int kind)
+share_init_targets(struct share_data *d, struct share_org *o, unsigned int kind)
 {
 	struct share_part *part = &o->parts[kind];
-	unsigned int i, most = 1;
+	unsigned int i, max_nodes = 1;
 	int64_t past;
 
-	part->least[0] = INT64_MAX;
-	share_retarget(d, o, kind);
-	for (i = 0; i < SHARE_STRETCHES; i++)
-		most = MAX(most, d->most[i]);
+	part->min_targets[0] = INT64_MAX;
+	share_update_target(d, o, kind);
+	for (i = 0; i < SHARE_PERIODS; i++)
+		max_nodes = MAX(max_nodes, d->max_nodes[i]);
 	past = part->target;
-	if (most > d->nodes->len)
-		past = MIN(past, part->limit / most);
-	for (i = 1; i < SHARE_STRETCHES; i++) {
+	if (max_nodes > d->nodes->len)
+		past = MIN(past, part->limit / max_nodes);
+	for (i = 1; i < SHARE_PERIODS; i++) {
 		/* Periods before start-up count as 0, see shares_init(). */
-		part->least[i] = i + d->young > SHARE_STRETCHES ? 0 : past;
+		part->min_targets[i] =
+		    i + d->startup_periods > SHARE_PERIODS ? 0 : past;
 	}
 }
 
@@ -421,9 +430,9 @@
 			continue;
 		if (part->limit == 0)
 			part->filled = now;
-		share_fill(part, i, now);
+		share_fill_bucket(part, i, now);
 		part->limit = (int64_t)values[i] * SHARE_UNIT;
-		share_begin(d, o, i);
+		share_init_targets(d, o, i);
 	}
 }
 
@@ -451,7 +460,7 @@
 	o->last_use = now;
 	for (i = 0; i < SHARE_KINDS; i++) {
 		TAILQ_INIT(&o->parts[i].loans);
-		TAILQ_INIT(&o->parts[i].debts);
+		TAILQ_INIT(&o->parts[i].borrowings);
 	}
 	share_set_limits(d, o, now, &limits);
 	for (i = 0; i < SHARE_KINDS; i++)
@@ -481,12 +490,12 @@
 	d->takes_work = false;
 	for (i = 0; i < n; i++)
 		d->takes_work = d->takes_work || nodes[i] == d->self;
-	d->most[0] = MAX(d->most[0], n);
+	d->max_nodes[0] = MAX(d->max_nodes[0], n);
 	log_debug("%u nodes take work", n);
 	RB_FOREACH (o, share_org_tree, &d->orgs) {
 		for (i = 0; i < SHARE_KINDS; i++) {
-			share_fill(&o->parts[i], i, now);
-			share_retarget(d, o, i);
+			share_fill_bucket(&o->parts[i], i, now);
+			share_update_target(d, o, i);
 		}
 	}
 }
@@ -496,7 +505,7 @@
 {
 	if (part->limit == 0)
 		return true;
-	share_fill(part, kind, now);
+	share_fill_bucket(part, kind, now);
 	switch (kind) {
 	case SHARE_REQUESTS:
 		return part->level >= SHARE_UNIT;
@@ -507,12 +516,13 @@
 		 */
 		return part->level > 0;
 	default:
-		return part->used + SHARE_UNIT <= share_lasting(part, now);
+		return part->used + SHARE_UNIT <=
+		       share_lasting_allowance(part, now);
 	}
 }
 
 bool
-shares_take(struct shares *sh, msec now, name_id service, name_id organisation,
+shares_admit(struct shares *sh, msec now, name_id service, name_id organisation,
     unsigned int tokens)
 {
 	struct share_org *o;
@@ -524,17 +534,17 @@
 		return true;
 	o->last_use = now;
 	p = o->parts;
-	p[SHARE_REQUESTS].tried += SHARE_UNIT;
-	p[SHARE_TOKENS].tried += (int64_t)tokens * SHARE_UNIT;
+	p[SHARE_REQUESTS].demand += SHARE_UNIT;
+	p[SHARE_TOKENS].demand += (int64_t)tokens * SHARE_UNIT;
 	for (i = 0; i < SHARE_KINDS; i++) {
 		if (share_has_room(&p[i], i, now))
 			continue;
 		room = false;
 		if (i == SHARE_IN_FLIGHT)
-			p[i].tried += SHARE_UNIT;
+			p[i].demand += SHARE_UNIT;
 		/* Request a loan now, rather than at the end of the window. */
-		if (!p[i].asked && p[i].wait == 0)
-			share_ask_some(sh, now, o, i);
+		if (!p[i].asked && p[i].backoff == 0)
+			share_request_loans(sh, now, o, i);
 	}
 	if (!room) {
 		sh->counters.refused++;
@@ -550,8 +560,8 @@
 }
 
 void
-shares_done(struct shares *sh, msec now, name_id service, name_id organisation,
-    unsigned int taken, unsigned int tokens)
+shares_request_ended(struct shares *sh, msec now, name_id service,
+    name_id organisation, unsigned int taken, unsigned int tokens)
 {
 	struct share_org *o, find;
 
@@ -578,23 +588,23 @@
 }
 
 static void
-share_next_stretch(struct share_data *d)
+share_begin_period(struct share_data *d)
 {
 	struct share_part *part;
 	struct share_org *o;
 	unsigned int i;
 
-	memmove(&d->most[1], &d->most[0],
-	    (SHARE_STRETCHES - 1) * sizeof d->most[0]);
-	d->most[0] = d->nodes->len;
-	if (d->young > 0)
-		d->young--;
+	memmove(&d->max_nodes[1], &d->max_nodes[0],
+	    (SHARE_PERIODS - 1) * sizeof d->max_nodes[0]);
+	d->max_nodes[0] = d->nodes->len;
+	if (d->startup_periods > 0)
+		d->startup_periods--;
 	RB_FOREACH (o, share_org_tree, &d->orgs) {
 		for (i = 0; i < SHARE_KINDS; i++) {
 			part = &o->parts[i];
-			memmove(&part->least[1], &part->least[0],
-			    (SHARE_STRETCHES - 1) * sizeof part->least[0]);
-			part->least[0] = part->target;
+			memmove(&part->min_targets[1], &part->min_targets[0],
+			    (SHARE_PERIODS - 1) * sizeof part->min_targets[0]);
+			part->min_targets[0] = part->target;
 		}
 	}
 }
@@ -611,9 +621,9 @@
 	int64_t have = share_allowance(part, now), need;
 
 	if (kind == SHARE_IN_FLIGHT)
-		need = MAX(part->peak, part->last_peak) + part->tried;
+		need = MAX(part->peak, part->last_peak) + part->demand;
 	else
-		need = MAX(part->rate, part->tried) * 5 / 4;
+		need = MAX(part->rate, part->demand) * 5 / 4;
 	/* Keep a reserve, so that the next local caller is not refused. */
 	if (lending && kind != SHARE_IN_FLIGHT)
 		need = MAX(need, share_base(part) / 8);
@@ -625,12 +635,12 @@
 share_is_lender(const struct share_data *d, const struct share_org *o,
     const struct share_part *part, name_id id)
 {
-	const struct share_debt *debt;
+	const struct share_borrowing *borrowing;
 
-	if (id == d->self || share_rank(o, id) > part->owners_to)
+	if (id == d->self || share_rank(o, id) > part->max_owner_rank)
 		return false;
-	TAILQ_FOREACH (debt, &part->debts, entry) {
-		if (debt->node == id)
+	TAILQ_FOREACH (borrowing, &part->borrowings, entry) {
+		if (borrowing->node == id)
 			return false;
 	}
 	return true;
@@ -644,7 +654,7 @@
 	gint32 n = 0;
 	guint i;
 
-	for (i = 0; i < SHARE_DRAWS && d->nodes->len > 0; i++) {
+	for (i = 0; i < SHARE_RANDOM_TRIES && d->nodes->len > 0; i++) {
 		id = g_array_index(d->nodes, name_id,
 		    g_rand_int_range(d->rand, 0, (gint32)d->nodes->len));
 		if (share_is_lender(d, o, part, id))
@@ -668,15 +678,15 @@
     unsigned int kind, msec now)
 {
 	const struct share_part *part = &o->parts[kind];
-	const struct share_debt *debt, *next = NULL;
-	msec soon = share_renew_within(kind);
+	const struct share_borrowing *borrowing, *next = NULL;
+	msec soon = share_renewal_time(kind);
 
 	/* Renew the loan that expires first. */
-	TAILQ_FOREACH (debt, &part->debts, entry) {
-		if (share_lapses_within(debt, now, soon) &&
-		    debt->asked != now &&
-		    (next == NULL || debt->until < next->until))
-			next = debt;
+	TAILQ_FOREACH (borrowing, &part->borrowings, entry) {
+		if (share_expires_within(borrowing, now, soon) &&
+		    borrowing->asked != now &&
+		    (next == NULL || borrowing->until < next->until))
+			next = borrowing;
 	}
 	if (next != NULL)
 		return next->node;
@@ -684,39 +694,39 @@
 }
 
 static void
-share_ask(struct shares *sh, msec now, struct share_org *o,
+share_request_loan(struct shares *sh, msec now, struct share_org *o,
     enum share_kind kind, name_id node)
 {
 	struct share_part *part = &o->parts[kind];
-	struct share_debt *debt;
+	struct share_borrowing *borrowing;
 	int64_t ask;
 	sp_msg msg;
 
 	ask = share_shortage(part, kind, now, false);
-	TAILQ_FOREACH (debt, &part->debts, entry) {
-		if (debt->node == node)
+	TAILQ_FOREACH (borrowing, &part->borrowings, entry) {
+		if (borrowing->node == node)
 			break;
 	}
-	if (debt == NULL) {
-		debt = g_new0(struct share_debt, 1);
-		debt->node = node;
-		TAILQ_INSERT_TAIL(&part->debts, debt, entry);
+	if (borrowing == NULL) {
+		borrowing = g_new0(struct share_borrowing, 1);
+		borrowing->node = node;
+		TAILQ_INSERT_TAIL(&part->borrowings, borrowing, entry);
 	}
 	/* Request the total amount, as the answer replaces the existing loan.
 	 */
-	ask = MIN(ask + debt->amount, part->limit);
+	ask = MIN(ask + borrowing->amount, part->limit);
 	if (ask <= 0)
 		return;
 	if (kind != SHARE_TOKENS)
 		ask = MAX(ask, SHARE_UNIT);
-	debt->seq = ++sh->priv->seq;
-	debt->asked = now;
+	borrowing->seq = ++sh->priv->seq;
+	borrowing->asked = now;
 	memset(&msg, 0, sizeof msg);
 	msg.kind = SP_SHARE;
 	msg.sp_msg_u.share.service = o->service;
 	msg.sp_msg_u.share.organisation = o->organisation;
 	msg.sp_msg_u.share.kind = kind;
-	msg.sp_msg_u.share.seq = debt->seq;
+	msg.sp_msg_u.share.seq = borrowing->seq;
 	msg.sp_msg_u.share.ask = (u_int)MIN(ask, UINT32_MAX);
 	sh->counters.asked++;
 	sh->priv->asks_left--;
@@ -725,7 +735,7 @@
 
 /* Request loans, with exponential backoff while no node lends. */
 static void
-share_ask_some(
+share_request_loans(
     struct shares *sh, msec now, struct share_org *o, enum share_kind kind)
 {
 	struct share_data *d = sh->priv;
@@ -733,22 +743,23 @@
 	unsigned int turn, asks;
 	name_id node;
 
-	asks = MAX(SHARE_ASKS_LEAST, d->nodes->len / SHARE_ASKS_IN);
+	asks = MAX(SHARE_ASKS_MIN, d->nodes->len / SHARE_NODES_PER_ASK);
 	part->asked = true;
 	for (turn = 0; turn < asks && d->asks_left > 0; turn++) {
 		node = share_pick_lender(d, o, kind, now);
 		if (node != 0)
-			share_ask(sh, now, o, kind, node);
+			share_request_loan(sh, now, o, kind, node);
 	}
-	part->wait = (1U << MIN(part->vain, SHARE_VAIN_MAX)) - 1;
-	part->vain++;
+	part->backoff =
+	    (1U << MIN(part->failed_windows, SHARE_BACKOFF_MAX)) - 1;
+	part->failed_windows++;
 }
 
 /* Borrow what this node lacked, and renew loans that are still needed. */
 static void
-share_next_window(struct shares *sh, msec now, struct share_org *o)
+share_begin_window(struct shares *sh, msec now, struct share_org *o)
 {
-	struct share_debt *debt;
+	struct share_borrowing *borrowing;
 	struct share_part *part;
 	unsigned int i;
 	int64_t renew;
@@ -758,21 +769,21 @@
 		if (part->limit == 0)
 			continue;
 		part->rate =
-		    (part->rate * 3 + part->tried * 1000 / SHARE_WINDOW) / 4;
-		share_lapse(part, now);
+		    (part->rate * 3 + part->demand * 1000 / SHARE_WINDOW) / 4;
+		share_expire_loans(part, now);
 		renew = 0;
-		TAILQ_FOREACH (debt, &part->debts, entry) {
-			if (share_lapses_within(
-				debt, now, share_renew_within(i)))
-				renew += debt->amount;
+		TAILQ_FOREACH (borrowing, &part->borrowings, entry) {
+			if (share_expires_within(
+				borrowing, now, share_renewal_time(i)))
+				renew += borrowing->amount;
 		}
-		if (part->wait > 0 && renew == 0)
-			part->wait--;
+		if (part->backoff > 0 && renew == 0)
+			part->backoff--;
 		else if ((!part->asked || renew > 0) &&
 			 share_shortage(part, i, now, false) + renew > 0)
-			share_ask_some(sh, now, o, i);
+			share_request_loans(sh, now, o, i);
 		part->asked = false;
-		part->tried = 0;
+		part->demand = 0;
 		part->last_peak = part->peak;
 		part->peak = part->used;
 	}
@@ -802,23 +813,23 @@
 	struct share_data *d = sh->priv;
 	struct share_org *o, *next;
 
-	while (now >= d->next_stretch) {
-		d->next_stretch += SHARE_STRETCH;
-		share_next_stretch(d);
+	while (now >= d->next_period) {
+		d->next_period += SHARE_PERIOD;
+		share_begin_period(d);
 	}
 	if (now < d->next_window)
-		return MIN(d->next_window, d->next_stretch);
+		return MIN(d->next_window, d->next_period);
 	d->next_window = now + SHARE_WINDOW;
 	d->asks_left = SHARE_ASKS_MAX;
 	RB_FOREACH_SAFE (o, share_org_tree, &d->orgs, next) {
-		share_next_window(sh, now, o);
+		share_begin_window(sh, now, o);
 		if (!share_is_idle(o, now))
 			continue;
 		log_debug(
 		    "removing idle organisation %" PRIx64, o->organisation);
 		share_org_free(d, o);
 	}
-	return MIN(d->next_window, d->next_stretch);
+	return MIN(d->next_window, d->next_period);
 }
 
 static void
@@ -834,7 +845,7 @@
 	if (o == NULL)
 		return;
 	part = &o->parts[ask->kind];
-	share_fill(part, ask->kind, now);
+	share_fill_bucket(part, ask->kind, now);
 	/* Negative if this node itself lacks some and wants part of a loan
 	 * back. */
 	spare = -share_shortage(part, ask->kind, now, true);
@@ -871,7 +882,7 @@
 	}
 	part->lent += give - loan->amount;
 	loan->amount = give;
-	loan->until = now + SHARE_LOAN;
+	loan->until = now + SHARE_LOAN_TERM;
 	memset(&msg, 0, sizeof msg);
 	msg.kind = SP_SHARE;
 	msg.sp_msg_u.share = *ask;
@@ -892,10 +903,11 @@
  * request than the last is ignored, as its start is not known any more.
  */
 static void
-share_borrowed(struct shares *sh, msec now, name_id from, const sp_share *give)
+share_receive_loan(
+    struct shares *sh, msec now, name_id from, const sp_share *give)
 {
 	struct share_org *o, find;
-	struct share_debt *debt;
+	struct share_borrowing *borrowing;
 	struct share_part *part;
 
 	find.service = give->service;
@@ -905,20 +917,21 @@
 	part = &o->parts[give->kind];
 	if (give->give > part->limit || give->credit > give->give)
 		return;
-	share_fill(part, give->kind, now);
-	TAILQ_FOREACH (debt, &part->debts, entry) {
-		if (debt->node == from && debt->seq == give->seq)
+	share_fill_bucket(part, give->kind, now);
+	TAILQ_FOREACH (borrowing, &part->borrowings, entry) {
+		if (borrowing->node == from && borrowing->seq == give->seq)
 			break;
 	}
 	/* A duplicate of the answer would add the credit twice. */
-	if (debt == NULL || debt->until == debt->asked + SHARE_LOAN)
+	if (borrowing == NULL ||
+	    borrowing->until == borrowing->asked + SHARE_LOAN_TERM)
 		return;
-	if (now >= debt->asked + SHARE_LOAN)
+	if (now >= borrowing->asked + SHARE_LOAN_TERM)
 		return;
-	part->borrowed += (int64_t)give->give - debt->amount;
-	part->vain = part->wait = 0;
-	debt->amount = give->give;
-	debt->until = debt->asked + SHARE_LOAN;
+	part->borrowed += (int64_t)give->give - borrowing->amount;
+	part->failed_windows = part->backoff = 0;
+	borrowing->amount = give->give;
+	borrowing->until = borrowing->asked + SHARE_LOAN_TERM;
 	part->level += give->credit;
 	sh->counters.borrowed++;
 }
@@ -933,5 +946,5 @@
 	if (s->ask > 0)
 		share_lend(sh, now, from, s);
 	else
-		share_borrowed(sh, now, from, s);
+		share_receive_loan(sh, now, from, s);
 }
--- a/share.h
+++ b/share.h
@@ -25,8 +25,8 @@
  * Term of a loan, and delay before a share is raised. The delay is longer by
  * the time that a change of nodes takes to reach all nodes.
  */
-#define SHARE_LOAN (2 * MSEC_SECOND)
-#define SHARE_RAISE (4 * MSEC_SECOND)
+#define SHARE_LOAN_TERM (2 * MSEC_SECOND)
+#define SHARE_RAISE_DELAY (4 * MSEC_SECOND)
 
 /* The kinds of limits, one for each member of struct doc_limits. */
 enum share_kind {
@@ -69,11 +69,11 @@
 /*
  * Admit a request of a service's organisation with an estimated number of
  * tokens; false if the organisation is over a limit. For each admitted request
- * call shares_done() when it ends.
+ * call shares_request_ended() when it ends.
  */
-bool shares_take(struct shares *, msec, name_id, name_id, unsigned int);
+bool shares_admit(struct shares *, msec, name_id, name_id, unsigned int);
 /* A request ended; with the estimated and the actual number of its tokens. */
-void shares_done(
+void shares_request_ended(
     struct shares *, msec, name_id, name_id, unsigned int, unsigned int);
 /* Handle an authenticated SP_SHARE message from a node. */
 void shares_receive(struct shares *, msec, name_id, const sp_msg *);
--- a/tests/bench-log.c
+++ b/tests/bench-log.c
@@ -145,8 +145,8 @@
     enum ledger_answer answer, enum ledger_verdict verdict,
     const struct ledger_claim *first)
 {
-	g_assert_cmpint(answer, ==, LEDGER_JUDGED);
-	g_assert_cmpint(verdict, ==, LEDGER_OURS);
+	g_assert_cmpint(answer, ==, LEDGER_DECIDED);
+	g_assert_cmpint(verdict, ==, LEDGER_FIRST);
 }
 
 static const struct ledger_home_ops home_ops = { home_answer };
--- a/tests/bench-share.c
+++ b/tests/bench-share.c
@@ -85,7 +85,7 @@
 			shares_tick(&sh[i], now);
 		for (step = 0; step < 2 * LIMIT * STEP / 1000; step++) {
 			i = (unsigned int)g_random_int_range(0, (gint32)used);
-			admitted += shares_take(&sh[i], now, 1, 2, 1);
+			admitted += shares_admit(&sh[i], now, 1, 2, 1);
 		}
 	}
 	printf("{\"bench\":\"share-reach\",\"nodes\":%u,\"used\":%u,"
@@ -117,7 +117,7 @@
 	shares_set_nodes(&sh, 0, &self, 1);
 	heap = mallinfo2().uordblks;
 	for (i = 0; i < n; i++)
-		shares_take(&sh, 1, 1, i, 1);
+		shares_admit(&sh, 1, 1, i, 1);
 	printf("{\"bench\":\"share-state\",\"bytes_per_organisation\":%zu}\n",
 	    (mallinfo2().uordblks - heap) / n);
 	shares_finish(&sh);
@@ -138,7 +138,7 @@
 	shares_set_nodes(&sh, 0, &self, 1);
 	clock_gettime(CLOCK_PROCESS_CPUTIME_ID, &a);
 	for (i = 0; i < n; i++)
-		shares_take(&sh, i / 100, 1, 2 + i % 10, 1);
+		shares_admit(&sh, i / 100, 1, 2 + i % 10, 1);
 	clock_gettime(CLOCK_PROCESS_CPUTIME_ID, &b);
 	printf("{\"bench\":\"share-take\",\"organisations\":10,"
 	       "\"cpu_ns\":%.0f}\n",
--- a/tests/proc-callers.c
+++ b/tests/proc-callers.c
@@ -149,7 +149,7 @@
 	struct caller c;
 	unsigned int i = 0;
 
-	while (msec_now() - calm < SHARE_RAISE + MSEC_SECOND) {
+	while (msec_now() - calm < SHARE_RAISE_DELAY + MSEC_SECOND) {
 		g_assert_cmpint(msec_now(), <, until);
 		caller_ask(
 		    &c, s->entries[i++ % s->config.nodes].caller, "settle", 1);
--- a/tests/proc-ledger-home.c
+++ b/tests/proc-ledger-home.c
@@ -36,10 +36,10 @@
 	struct rig_home *r = h->data;
 
 	r->answers++;
-	if (answer != LEDGER_JUDGED)
+	if (answer != LEDGER_DECIDED)
 		return;
 	key_judged[c->request / HOMES]++;
-	key_runs[c->request / HOMES] += verdict == LEDGER_OURS;
+	key_runs[c->request / HOMES] += verdict == LEDGER_FIRST;
 }
 
 static const struct ledger_home_ops home_ops = { home_answer };
@@ -85,7 +85,7 @@
 		break;
 	case LOG_EVENT_DOWN:
 	case LOG_EVENT_UP:
-		ledger_home_down(&r->home, e->kind == LOG_EVENT_DOWN);
+		ledger_home_set_log_down(&r->home, e->kind == LOG_EVENT_DOWN);
 		break;
 	}
 	log_event_free(e);
--- a/tests/proc-tickets.c
+++ b/tests/proc-tickets.c
@@ -41,7 +41,7 @@
 }
 
 static void
-ticket_book(struct nodes *s, unsigned int i, const char *ticket,
+ticket_registry(struct nodes *s, unsigned int i, const char *ticket,
     const char *body, struct caller *c)
 {
 	caller_book(c, entry_port(s, i), "by-ticket");
@@ -69,7 +69,7 @@
 	nodes_up(&s, &two_two);
 	ticket = ticket_get(&s, 0);
 	for (i = 0; i < 4; i++) {
-		ticket_book(&s, i % 2, ticket, NULL, &c);
+		ticket_registry(&s, i % 2, ticket, NULL, &c);
 		g_assert_cmpint(c.status, ==, 200);
 		g_assert_cmpstr(c.outcome, ==, "ran");
 		if (first == NULL)
@@ -78,7 +78,7 @@
 		caller_finish(&c);
 	}
 	for (i = 0; i < 2; i++) {
-		ticket_book(&s, i, ticket, "{\"slot\":8}", &c);
+		ticket_registry(&s, i, ticket, "{\"slot\":8}", &c);
 		g_assert_cmpint(c.status, >=, 400);
 		g_assert_cmpstr(c.outcome, !=, "ran");
 		caller_finish(&c);
@@ -141,7 +141,7 @@
 	nodes_up(&s, &two_two);
 	http_fault(s.plain.proc.port, "{\"read_and_close\": 1}");
 	ticket = ticket_get(&s, 0);
-	ticket_book(&s, 1, ticket, NULL, &c);
+	ticket_registry(&s, 1, ticket, NULL, &c);
 	caller_assert_broken(&c, "unknown");
 	caller_finish(&c);
 	g_assert_cmpint(nodes_plain_executions(&s, "by-ticket"), ==, 1);
@@ -163,17 +163,17 @@
 
 	nodes_up(&s, &two_two);
 	ticket = ticket_get(&s, 0);
-	ticket_book(&s, 0, ticket, NULL, &c);
+	ticket_registry(&s, 0, ticket, NULL, &c);
 	g_assert_cmpstr(c.outcome, ==, "ran");
 	caller_finish(&c);
 	proc_kill(&s.entries[0].proc);
-	ticket_book(&s, 1, ticket, NULL, &c);
+	ticket_registry(&s, 1, ticket, NULL, &c);
 	caller_assert_broken(&c, "unknown");
 	caller_finish(&c);
 	nodes_entry_start(&s, 0);
 	nodes_entry_ready(&s, 0);
 	for (i = 0; i < 2; i++) {
-		ticket_book(&s, i, ticket, NULL, &c);
+		ticket_registry(&s, i, ticket, NULL, &c);
 		caller_assert_broken(&c, "unknown");
 		caller_finish(&c);
 	}
@@ -200,12 +200,12 @@
 	nodes_up(&s, &one_one);
 	proxy_set(s.plain.proxy, &f);
 	ticket = ticket_get(&s, 0);
-	ticket_book(&s, 0, ticket, NULL, &c);
+	ticket_registry(&s, 0, ticket, NULL, &c);
 	caller_assert_broken(&c, "not-run");
 	caller_finish(&c);
 	proxy_set(s.plain.proxy, &proxy_no_faults);
 	for (i = 0; i < 100; i++) {
-		ticket_book(&s, 0, ticket, NULL, &c);
+		ticket_registry(&s, 0, ticket, NULL, &c);
 		if (strcmp(c.outcome, "not-run") != 0)
 			break;
 		caller_finish(&c);
@@ -231,11 +231,11 @@
 
 	nodes_up(&s, &one_one);
 	ticket = ticket_get(&s, 0);
-	ticket_book(&s, 0, ticket, NULL, &c);
+	ticket_registry(&s, 0, ticket, NULL, &c);
 	g_assert_cmpstr(c.outcome, ==, "ran");
 	caller_finish(&c);
 	g_usleep(JOIN_KEPT_S * G_USEC_PER_SEC);
-	ticket_book(&s, 0, ticket, NULL, &c);
+	ticket_registry(&s, 0, ticket, NULL, &c);
 	caller_assert_broken(&c, "unknown");
 	caller_finish(&c);
 	g_assert_cmpint(nodes_plain_executions(&s, "by-ticket"), ==, 1);
@@ -256,7 +256,7 @@
 
 	nodes_up(&s, &one_one);
 	ticket = ticket_get(&s, 0);
-	ticket_book(&s, 0, ticket, NULL, &c);
+	ticket_registry(&s, 0, ticket, NULL, &c);
 	g_assert_cmpstr(c.outcome, ==, "ran");
 	caller_finish(&c);
 	caller_ask(&hold, entry_port(&s, 0), "hold", 400);
@@ -264,7 +264,7 @@
 	caller_wait_bytes(&hold, EVENT_BYTES);
 	proc_signal(&s.entries[0].proc, SIGTERM);
 	g_usleep(300 * 1000);
-	ticket_book(&s, 0, ticket, NULL, &c);
+	ticket_registry(&s, 0, ticket, NULL, &c);
 	if (c.status != 0)
 		g_assert_cmpstr(c.outcome, ==, "ran");
 	caller_finish(&c);
--- a/tests/test-duty.c
+++ b/tests/test-duty.c
@@ -191,15 +191,15 @@
 static bool
 node_hear(struct node *n, uint64_t era)
 {
-	bool first = !n->era.heard;
+	bool first = !n->era.has_answer;
 
-	switch (era_heard(&n->era, n->world->now, era)) {
-	case ERA_OLD:
+	switch (era_check_answer(&n->era, n->world->now, era)) {
+	case ERA_OUTDATED:
 		return false;
-	case ERA_ROSE:
-		duty_rewound(&n->duty, n->world->now, era);
+	case ERA_INCREASED:
+		duty_log_rolled_back(&n->duty, n->world->now, era);
 		break;
-	case ERA_SAME:
+	case ERA_CURRENT:
 		if (first)
 			duty_set_era(&n->duty, era);
 		break;
@@ -299,7 +299,7 @@
 		struct record r = { w->now, e->claim };
 
 		if (w->records->len == e->place) {
-			answer.how = DUTY_TAKEN;
+			answer.how = DUTY_ACCEPTED;
 			answer.offset = w->records->len;
 			g_array_append_val(w->records, r);
 		}
@@ -318,7 +318,7 @@
 		node_hear(n, e->era);
 	} else if (e->is_look) {
 		e->ok = e->ok && node_hear(n, e->era);
-		duty_looked(&n->duty, w->now, e->ok, e->offset, e->end);
+		duty_claim_found(&n->duty, w->now, e->ok, e->offset, e->end);
 	} else {
 		if (e->how != DUTY_UNKNOWN && !node_hear(n, e->era))
 			e->how = DUTY_UNKNOWN;
@@ -619,7 +619,7 @@
 	world_settle(&w);
 	h = holder_of(&w);
 	token = w.nodes[h].duty.token;
-	duty_refused(&w.nodes[h].duty, w.now);
+	duty_token_refused(&w.nodes[h].duty, w.now);
 	g_assert_cmpuint(duty_token(&w.nodes[h].duty, w.now), ==, 0);
 	world_run(&w, 15000);
 	g_assert_cmpuint(holder_of(&w), <, NODES);
@@ -781,7 +781,7 @@
 	d = &w.nodes[(h + 1) % NODES].duty;
 	b->token = w.nodes[h].duty.token;
 	b->end = w.nodes[h].duty.end + 50;
-	duty_rewound(d, w.now, w.era + 1);
+	duty_log_rolled_back(d, w.now, w.era + 1);
 	duty_receive(d, w.now, id_of(h), &msg);
 	g_assert_cmpuint(d->end, ==, 0);
 	g_assert_cmpuint(d->holder, ==, 0);
--- a/tests/test-era.c
+++ b/tests/test-era.c
@@ -14,10 +14,10 @@
 	struct era a;
 
 	era_init(&a);
-	g_assert_cmpint(era_heard(&a, 10, 0), ==, ERA_SAME);
-	g_assert_cmpint(era_heard(&a, 20, 0), ==, ERA_SAME);
-	g_assert_true(era_settled(&a, 20, REWRITE));
-	g_assert_cmpuint(era_mark(&a, 77), ==, 77);
+	g_assert_cmpint(era_check_answer(&a, 10, 0), ==, ERA_CURRENT);
+	g_assert_cmpint(era_check_answer(&a, 20, 0), ==, ERA_CURRENT);
+	g_assert_true(era_is_settled(&a, 20, REWRITE));
+	g_assert_cmpuint(era_mix_mark(&a, 77), ==, 77);
 	g_assert_cmpuint(era_age(&a, 30), ==, ERA_AGE_UNKNOWN);
 	g_assert_cmpuint(era_token(0, 41), ==, 42);
 }
@@ -29,11 +29,11 @@
 	struct era a;
 
 	era_init(&a);
-	g_assert_cmpint(era_heard(&a, 10, 7), ==, ERA_SAME);
+	g_assert_cmpint(era_check_answer(&a, 10, 7), ==, ERA_CURRENT);
 	g_assert_cmpuint(a.number, ==, 7);
-	g_assert_false(era_settled(&a, 10, REWRITE));
-	g_assert_false(era_settled(&a, 10 + REWRITE - 1, REWRITE));
-	g_assert_true(era_settled(&a, 10 + REWRITE, REWRITE));
+	g_assert_false(era_is_settled(&a, 10, REWRITE));
+	g_assert_false(era_is_settled(&a, 10 + REWRITE - 1, REWRITE));
+	g_assert_true(era_is_settled(&a, 10 + REWRITE, REWRITE));
 	g_assert_cmpuint(a.counters.changes, ==, 0);
 }
 
@@ -47,14 +47,14 @@
 	struct era a;
 
 	era_init(&a);
-	era_heard(&a, 10, 7);
-	g_assert_cmpint(era_heard(&a, 20, 8), ==, ERA_ROSE);
-	g_assert_cmpint(era_heard(&a, 21, 8), ==, ERA_SAME);
-	g_assert_cmpint(era_heard(&a, 22, 7), ==, ERA_OLD);
+	era_check_answer(&a, 10, 7);
+	g_assert_cmpint(era_check_answer(&a, 20, 8), ==, ERA_INCREASED);
+	g_assert_cmpint(era_check_answer(&a, 21, 8), ==, ERA_CURRENT);
+	g_assert_cmpint(era_check_answer(&a, 22, 7), ==, ERA_OUTDATED);
 	g_assert_cmpuint(a.number, ==, 8);
 	g_assert_cmpuint(a.counters.old, ==, 1);
 	/* Two changes in a row, and several while this node was cut off. */
-	g_assert_cmpint(era_heard(&a, 30, 11), ==, ERA_ROSE);
+	g_assert_cmpint(era_check_answer(&a, 30, 11), ==, ERA_INCREASED);
 	g_assert_cmpuint(a.counters.changes, ==, 2);
 }
 
@@ -65,12 +65,13 @@
 	struct era a;
 
 	era_init(&a);
-	era_heard(&a, 10, 7);
-	g_assert_cmpint(era_heard(&a, 20, 0), ==, ERA_OLD);
-	g_assert_cmpint(era_heard(&a, 20, ERA_MAX + 1), ==, ERA_OLD);
-	g_assert_cmpint(era_heard(&a, 20, UINT64_MAX), ==, ERA_OLD);
-	g_assert_cmpuint(a.counters.unnamed, ==, 3);
-	g_assert_cmpint(era_heard(&a, 30, 7), ==, ERA_SAME);
+	era_check_answer(&a, 10, 7);
+	g_assert_cmpint(era_check_answer(&a, 20, 0), ==, ERA_OUTDATED);
+	g_assert_cmpint(
+	    era_check_answer(&a, 20, ERA_MAX + 1), ==, ERA_OUTDATED);
+	g_assert_cmpint(era_check_answer(&a, 20, UINT64_MAX), ==, ERA_OUTDATED);
+	g_assert_cmpuint(a.counters.without_era, ==, 3);
+	g_assert_cmpint(era_check_answer(&a, 30, 7), ==, ERA_CURRENT);
 }
 
 /* A platform that begins to send eras: records read before may be lost. */
@@ -80,8 +81,8 @@
 	struct era a;
 
 	era_init(&a);
-	era_heard(&a, 10, 0);
-	g_assert_cmpint(era_heard(&a, 20, 1), ==, ERA_ROSE);
+	era_check_answer(&a, 10, 0);
+	g_assert_cmpint(era_check_answer(&a, 20, 1), ==, ERA_INCREASED);
 }
 
 /*
@@ -94,11 +95,11 @@
 	struct era a;
 
 	era_init(&a);
-	era_heard(&a, 10, 7);
-	era_heard(&a, 1000, 8);
-	g_assert_false(era_settled(&a, 1000, REWRITE));
-	g_assert_false(era_settled(&a, 1000 + REWRITE - 1, REWRITE));
-	g_assert_true(era_settled(&a, 1000 + REWRITE, REWRITE));
+	era_check_answer(&a, 10, 7);
+	era_check_answer(&a, 1000, 8);
+	g_assert_false(era_is_settled(&a, 1000, REWRITE));
+	g_assert_false(era_is_settled(&a, 1000 + REWRITE - 1, REWRITE));
+	g_assert_true(era_is_settled(&a, 1000 + REWRITE, REWRITE));
 }
 
 /*
@@ -111,18 +112,18 @@
 	struct era a;
 
 	era_init(&a);
-	era_heard(&a, 9000, 8);
-	era_told(&a, 9000, 7, 100);
-	era_told(&a, 9000, 8, ERA_AGE_UNKNOWN);
-	g_assert_false(era_settled(&a, 9000, REWRITE));
-	era_told(&a, 9000, 8, 1500);
+	era_check_answer(&a, 9000, 8);
+	era_set_min_age(&a, 9000, 7, 100);
+	era_set_min_age(&a, 9000, 8, ERA_AGE_UNKNOWN);
+	g_assert_false(era_is_settled(&a, 9000, REWRITE));
+	era_set_min_age(&a, 9000, 8, 1500);
 	g_assert_cmpuint(era_age(&a, 9000), ==, 1500);
-	g_assert_false(era_settled(&a, 9000, REWRITE));
-	g_assert_true(era_settled(&a, 7500 + REWRITE, REWRITE));
+	g_assert_false(era_is_settled(&a, 9000, REWRITE));
+	g_assert_true(era_is_settled(&a, 7500 + REWRITE, REWRITE));
 	/*
 	 * A node that learned of the change later does not make it more recent.
 	 */
-	era_told(&a, 9000, 8, 300);
+	era_set_min_age(&a, 9000, 8, 300);
 	g_assert_cmpuint(era_age(&a, 9000), ==, 1500);
 }
 
@@ -134,11 +135,11 @@
 
 	era_init(&a);
 	era_init(&b);
-	era_heard(&a, 10, 7);
-	era_heard(&b, 10, 7);
-	g_assert_cmpuint(era_mark(&a, 5), ==, era_mark(&b, 5));
-	era_heard(&b, 20, 8);
-	g_assert_cmpuint(era_mark(&a, 5), !=, era_mark(&b, 5));
+	era_check_answer(&a, 10, 7);
+	era_check_answer(&b, 10, 7);
+	g_assert_cmpuint(era_mix_mark(&a, 5), ==, era_mix_mark(&b, 5));
+	era_check_answer(&b, 20, 8);
+	g_assert_cmpuint(era_mix_mark(&a, 5), !=, era_mix_mark(&b, 5));
 }
 
 /*
--- a/tests/test-fresh.c
+++ b/tests/test-fresh.c
@@ -13,13 +13,13 @@
 	struct fresh f;
 
 	fresh_init(&f, 4000);
-	g_assert_false(fresh_holds(&f, 0));
+	g_assert_false(fresh_is_valid(&f, 0));
 	g_assert_cmpint(fresh_age(&f, 5), ==, MSEC_NEVER);
-	fresh_prove(&f, 1000);
-	g_assert_true(fresh_holds(&f, 4999));
-	g_assert_false(fresh_holds(&f, 5000));
+	fresh_record_proof(&f, 1000);
+	g_assert_true(fresh_is_valid(&f, 4999));
+	g_assert_false(fresh_is_valid(&f, 5000));
 	/* An older proof that arrives late changes nothing. */
-	fresh_prove(&f, 500);
+	fresh_record_proof(&f, 500);
 	g_assert_cmpint(fresh_age(&f, 1500), ==, 500);
 }
 
@@ -32,11 +32,11 @@
 	struct fresh f;
 
 	fresh_init(&f, 4000);
-	fresh_prove(&f, 1000);
-	fresh_prove(&f, 1200);
-	g_assert_false(fresh_holds(&f, 9000));
-	fresh_prove(&f, 9001);
-	g_assert_true(fresh_holds(&f, 9002));
+	fresh_record_proof(&f, 1000);
+	fresh_record_proof(&f, 1200);
+	g_assert_false(fresh_is_valid(&f, 9000));
+	fresh_record_proof(&f, 9001);
+	g_assert_true(fresh_is_valid(&f, 9002));
 }
 
 static void
@@ -45,9 +45,9 @@
 	struct fresh f;
 
 	fresh_init(&f, 0);
-	g_assert_false(fresh_holds(&f, 10));
-	fresh_prove(&f, 10);
-	g_assert_true(fresh_holds(&f, 1000000));
+	g_assert_false(fresh_is_valid(&f, 10));
+	fresh_record_proof(&f, 10);
+	g_assert_true(fresh_is_valid(&f, 1000000));
 }
 
 int
--- a/tests/test-lease.c
+++ b/tests/test-lease.c
@@ -16,7 +16,7 @@
 
 struct node {
 	struct lease_fold fold;
-	struct lease_user user;
+	struct lease_client user;
 	double speed;	   /* relative to true time */
 	msec ahead;	   /* offset to true time */
 	msec paused_until; /* true time */
@@ -51,7 +51,7 @@
 	w->now = 100000;
 	for (i = 0; i < NODES; i++) {
 		lease_fold_init(&w->nodes[i].fold);
-		lease_user_init(&w->nodes[i].user, SERVICE, i + 1, 1);
+		lease_client_init(&w->nodes[i].user, SERVICE, i + 1, 1);
 		w->nodes[i].speed = 1;
 	}
 }
@@ -86,22 +86,23 @@
 		lease_fold_apply(&n->fold, node_now(w, n), offset,
 		    w->walls[offset - 1], w->records[offset - 1],
 		    strlen(w->records[offset - 1]));
-	lease_user_folded(&n->user, node_now(w, n), &n->fold);
+	lease_client_fold_changed(&n->user, node_now(w, n), &n->fold);
 }
 
 /* Claims or renews the lease if it is due; the append lands after `delay`. */
-static enum lease_act
+static enum lease_action
 node_tick(struct world *w, struct node *n, msec delay)
 {
 	char id[LOG_ID_SIZE];
 	uint64_t replaces;
-	enum lease_act act;
+	enum lease_action act;
 
-	act = lease_user_tick(&n->user, node_now(w, n), &n->fold, &replaces);
+	act = lease_client_tick(&n->user, node_now(w, n), &n->fold, &replaces);
 	if (act == LEASE_NOTHING || n->flying != NULL)
 		return act;
 	log_id_make(id);
-	lease_user_sent(&n->user, node_now(w, n), &n->fold, replaces, id);
+	lease_client_claim_sent(
+	    &n->user, node_now(w, n), &n->fold, replaces, id);
 	n->flying = lease_claim_encode(
 	    SERVICE, replaces, n->user.self, 1, LEASE_TERM, id);
 	n->lands_at = w->now + delay;
@@ -118,9 +119,9 @@
 }
 
 static void
-check_tick(struct world *w, struct node *n, enum lease_act want)
+check_tick(struct world *w, struct node *n, enum lease_action want)
 {
-	enum lease_act act = node_tick(w, n, 0);
+	enum lease_action act = node_tick(w, n, 0);
 
 	g_assert_cmpint(act, ==, want);
 }
@@ -129,7 +130,7 @@
 static void
 node_claim(struct world *w, struct node *n)
 {
-	enum lease_act act = node_tick(w, n, 0);
+	enum lease_action act = node_tick(w, n, 0);
 
 	g_assert_cmpint(act, !=, LEASE_NOTHING);
 	node_land(w, n);
@@ -155,9 +156,9 @@
 	node_read(&w, b);
 	g_assert_cmpuint(a->user.fencing, ==, 1);
 	g_assert_cmpuint(b->user.fencing, ==, 0);
-	g_assert_true(lease_user_may_order(&a->user, w.now, true));
-	g_assert_false(lease_user_may_order(&a->user, w.now, false));
-	g_assert_false(lease_user_may_order(&b->user, w.now, true));
+	g_assert_true(lease_client_may_order(&a->user, w.now, true));
+	g_assert_false(lease_client_may_order(&a->user, w.now, false));
+	g_assert_false(lease_client_may_order(&b->user, w.now, true));
 	check_tick(&w, b, LEASE_NOTHING);
 	w.now += LEASE_TERM / 2;
 	check_tick(&w, a, LEASE_RENEW);
@@ -181,18 +182,18 @@
 	world_init(&w);
 	node_claim(&w, a);
 	node_read(&w, b);
-	w.now += LEASE_TERM + LEASE_MARGIN - 1;
+	w.now += LEASE_TERM + LEASE_CLOCK_MARGIN - 1;
 	check_tick(&w, b, LEASE_NOTHING);
 	w.now += 1;
 	node_claim(&w, b);
 	g_assert_cmpuint(b->user.fencing, ==, 2);
-	g_assert_false(lease_user_may_order(&a->user, w.now, true));
+	g_assert_false(lease_client_may_order(&a->user, w.now, true));
 	/*
 	 * Engines that don't check the fencing number get orders only after a
 	 * further term.
 	 */
-	g_assert_true(lease_user_may_order(&b->user, w.now, true));
-	g_assert_false(lease_user_may_order(&b->user, w.now, false));
+	g_assert_true(lease_client_may_order(&b->user, w.now, true));
+	g_assert_false(lease_client_may_order(&b->user, w.now, false));
 	node_read(&w, a);
 	g_assert_cmpuint(a->user.fencing, ==, 0);
 	world_finish(&w);
@@ -213,19 +214,19 @@
 	node_claim(&w, a);
 	log_id_make(id);
 	log_land(&w, lease_release_encode(SERVICE, 1, a->user.self, 1, id));
-	lease_user_release(&a->user);
-	g_assert_false(lease_user_may_order(&a->user, w.now, true));
+	lease_client_release(&a->user);
+	g_assert_false(lease_client_may_order(&a->user, w.now, true));
 	/*
 	 * The release is not read back yet: the fold still shows this node as
 	 * holder.
 	 */
-	lease_user_folded(&a->user, w.now, &a->fold);
+	lease_client_fold_changed(&a->user, w.now, &a->fold);
 	check_tick(&w, a, LEASE_NOTHING);
 	node_read(&w, b);
 	node_claim(&w, b);
 	g_assert_cmpuint(b->user.fencing, ==, 3);
 	w.now += LEASE_ORDER_TIMEOUT;
-	g_assert_true(lease_user_may_order(&b->user, w.now, false));
+	g_assert_true(lease_client_may_order(&b->user, w.now, false));
 	world_finish(&w);
 }
 
@@ -246,13 +247,13 @@
 	w.log_down = true;
 	check_tick(&w, a, LEASE_RENEW);
 	w.now += LEASE_TERM;
-	g_assert_false(lease_user_may_order(&a->user, w.now, true));
+	g_assert_false(lease_client_may_order(&a->user, w.now, true));
 	w.log_down = false;
 	node_land(&w, a);
 	node_read(&w, a);
-	g_assert_false(lease_user_may_order(&a->user, w.now, true));
+	g_assert_false(lease_client_may_order(&a->user, w.now, true));
 	node_claim(&w, a);
-	g_assert_true(lease_user_may_order(&a->user, w.now, true));
+	g_assert_true(lease_client_may_order(&a->user, w.now, true));
 	world_finish(&w);
 }
 
@@ -311,7 +312,7 @@
 	node_read(&w, b);
 	g_assert_cmpuint(lease_fold_find(&b->fold, SERVICE)->fencing, ==, 4);
 	/* Long after, no lease is in force in any fold. */
-	w.now += LEASE_FORGET + LEASE_MARGIN + 1;
+	w.now += LEASE_MAX_AGE + LEASE_CLOCK_MARGIN + 1;
 	node_claim(&w, b);
 	if (b->user.fencing == 0)
 		node_claim(&w, b);
@@ -335,11 +336,11 @@
 	for (i = 0; i < NODES; i++) {
 		n = &w->nodes[i];
 		if (w->now < n->paused_until ||
-		    !lease_user_may_order(&n->user, node_now(w, n), true))
+		    !lease_client_may_order(&n->user, node_now(w, n), true))
 			continue;
 		may++;
 		w->orders++;
-		if (!lease_user_may_order(&n->user, node_now(w, n), false))
+		if (!lease_client_may_order(&n->user, node_now(w, n), false))
 			continue;
 		if (n->user.fencing < w->highest_unfenced)
 			w->stale_unfenced++;
@@ -368,7 +369,7 @@
 	case 2: /* replaced: reads from a later record */
 		lease_fold_finish(&n->fold);
 		lease_fold_init(&n->fold);
-		lease_user_init(&n->user, SERVICE, n->user.self, 1);
+		lease_client_init(&n->user, SERVICE, n->user.self, 1);
 		if (w->n > 2)
 			lease_fold_gap(&n->fold, node_now(w, n), w->n - 1,
 			    w->walls[w->n - 2]);
--- a/tests/test-ledger.c
+++ b/tests/test-ledger.c
@@ -59,11 +59,11 @@
 	r->answers++;
 	r->undecided += answer == LEDGER_UNDECIDED;
 	r->not_appended += answer == LEDGER_NOT_APPENDED;
-	if (answer != LEDGER_JUDGED)
+	if (answer != LEDGER_DECIDED)
 		return;
 	r->verdict = verdict;
-	r->ours += verdict == LEDGER_OURS;
-	if (verdict != LEDGER_OURS || r->state != REQUEST_WAITING)
+	r->ours += verdict == LEDGER_FIRST;
+	if (verdict != LEDGER_FIRST || r->state != REQUEST_WAITING)
 		return;
 	r->state = REQUEST_RAN;
 	w->runs[r->key]++;
@@ -164,8 +164,8 @@
 	ledger_home_claim(&w.homes[0], w.now, &a->claim);
 	home_round(&w, &w.homes[0]);
 	g_assert_cmpuint(w.log.n, ==, 1);
-	g_assert_cmpint(a->verdict, ==, LEDGER_OURS);
-	g_assert_cmpint(b->verdict, ==, LEDGER_LATER);
+	g_assert_cmpint(a->verdict, ==, LEDGER_FIRST);
+	g_assert_cmpint(b->verdict, ==, LEDGER_NOT_FIRST);
 	g_assert_cmpint(c->verdict, ==, LEDGER_OTHER_BODY);
 	g_assert_cmpuint(a->answers, ==, 1);
 	/* A claim of a taken key appends no record. */
@@ -204,7 +204,7 @@
 	log_land(&w, record);
 	ledger_home_claim(&w.homes[1], w.now, &b->claim);
 	home_round(&w, &w.homes[1]);
-	g_assert_cmpint(b->verdict, ==, LEDGER_LATER);
+	g_assert_cmpint(b->verdict, ==, LEDGER_NOT_FIRST);
 	g_assert_cmpuint(w.runs[1], ==, 0);
 	world_finish(&w);
 }
@@ -231,14 +231,14 @@
 	delayed = ledger_home_tick(&w.homes[0], w.now, id, &batch);
 	a->state = REQUEST_GIVEN_UP;
 	end = a->claim;
-	end.status = LEDGER_ABANDONED;
+	end.status = LEDGER_WITHDRAWN;
 	ledger_home_claim(&w.homes[0], w.now, &end);
 	home_round(&w, &w.homes[0]);
 	log_land(&w, delayed);
 	ledger_home_claim(&w.homes[0], w.now, &b->claim);
 	home_round(&w, &w.homes[0]);
 	g_assert_cmpuint(a->ours, ==, 0);
-	g_assert_cmpint(b->verdict, ==, LEDGER_OURS);
+	g_assert_cmpint(b->verdict, ==, LEDGER_FIRST);
 	g_assert_cmpuint(w.runs[1], ==, 1);
 	world_finish(&w);
 }
@@ -262,7 +262,7 @@
 	end.status = 200;
 	ledger_home_claim(&w.homes[0], w.now, &end);
 	home_round(&w, &w.homes[0]);
-	end.status = LEDGER_ABANDONED;
+	end.status = LEDGER_WITHDRAWN;
 	ledger_home_claim(&w.homes[0], w.now, &end);
 	home_round(&w, &w.homes[0]);
 	first = ledger_fold_find(
@@ -295,11 +295,11 @@
 		log_land(&w, strdup("{}"));
 	ledger_home_claim(h, w.now, &a->claim);
 	home_round(&w, h);
-	g_assert_cmpint(a->verdict, ==, LEDGER_TOO_OLD);
+	g_assert_cmpint(a->verdict, ==, LEDGER_UNDECIDABLE);
 	w.now += LEDGER_WINDOW + 1;
 	ledger_home_claim(h, w.now, &b->claim);
 	home_round(&w, h);
-	g_assert_cmpint(b->verdict, ==, LEDGER_OURS);
+	g_assert_cmpint(b->verdict, ==, LEDGER_FIRST);
 	g_assert_cmpuint(h->fold.count, ==, 1);
 	world_finish(&w);
 }
@@ -325,7 +325,7 @@
 	w.now += LEDGER_BATCH_WAIT;
 	record = ledger_home_tick(&w.homes[0], w.now, id, &batch);
 	ledger_home_claim(&w.homes[0], w.now, &b->claim);
-	ledger_home_down(&w.homes[0], true);
+	ledger_home_set_log_down(&w.homes[0], true);
 	g_assert_cmpuint(b->not_appended, ==, 1);
 	ledger_home_claim(&w.homes[0], w.now, &c->claim);
 	g_assert_cmpuint(c->not_appended, ==, 1);
@@ -388,7 +388,7 @@
 			return;
 		r->state = REQUEST_GIVEN_UP;
 		end = r->claim;
-		end.status = LEDGER_ABANDONED;
+		end.status = LEDGER_WITHDRAWN;
 		if (g_rand_boolean(rand))
 			ledger_home_claim(h, w->now, &end);
 		return;
@@ -450,7 +450,7 @@
 			ran += w->runs[i];
 		}
 		for (i = 0; i < w->nrequests; i++)
-			free_again += w->requests[i].verdict == LEDGER_OURS &&
+			free_again += w->requests[i].verdict == LEDGER_FIRST &&
 				      w->requests[i].state == REQUEST_GIVEN_UP;
 		world_finish(w);
 		g_rand_free(rand);
--- a/tests/test-poison.c
+++ b/tests/test-poison.c
@@ -144,9 +144,9 @@
 	poison_world_init(&w, 1, 1, 1);
 	p = &w.nodes[0].core;
 	for (i = 1; i <= POISON_ENDS; i++)
-		poison_ended(p, w.now, any_id(1), i);
+		poison_server_ended(p, w.now, any_id(1), i);
 	for (i = 2; i < 10 * POISON_RECORDS_MAX; i++)
-		poison_ended(p, w.now, any_id(i), 99);
+		poison_server_ended(p, w.now, any_id(i), 99);
 	g_assert_cmpuint(p->count, ==, POISON_RECORDS_MAX);
 	g_assert_cmpuint(p->counters.dropped, >, 0);
 	g_assert_true(poison_is_condemned(p, w.now, any_id(1)));
@@ -169,29 +169,29 @@
 	poison_world_init(&w, 1, 1, 1);
 	p = &w.nodes[0].core;
 	for (i = 1; i <= POISON_ENDS; i++)
-		poison_ended(p, w.now, any_id(1), i);
-	g_assert_cmpint(poison_ask(p, w.now, &run), ==, POISON_NO);
-	wait = poison_trial_in(p, w.now, any_id(1));
+		poison_server_ended(p, w.now, any_id(1), i);
+	g_assert_cmpint(poison_ask(p, w.now, &run), ==, POISON_CONDEMNED);
+	wait = poison_trial_delay(p, w.now, any_id(1));
 	g_assert_cmpint(wait, >=, 60 * MSEC_SECOND);
 	w.now += wait;
-	g_assert_cmpint(poison_ask(p, w.now, &run), ==, POISON_GO);
+	g_assert_cmpint(poison_ask(p, w.now, &run), ==, POISON_SEND);
 	g_assert_cmpint(poison_ask(p, w.now, &other), ==, POISON_WAIT);
-	poison_end(p, w.now, &other, false);
-	poison_end(p, w.now, &run, true);
+	poison_run_end(p, w.now, &other, false);
+	poison_run_end(p, w.now, &run, true);
 	/* Not before the outcome of the trial on the server is known. */
 	g_assert_cmpint(poison_ask(p, w.now, &other), ==, POISON_WAIT);
-	poison_end(p, w.now, &other, false);
-	poison_ended(p, w.now, any_id(1), 90);
-	poison_settled(p, w.now, any_id(1));
-	g_assert_cmpint(poison_ask(p, w.now, &run), ==, POISON_NO);
-	next = poison_trial_in(p, w.now, any_id(1));
+	poison_run_end(p, w.now, &other, false);
+	poison_server_ended(p, w.now, any_id(1), 90);
+	poison_server_checked(p, w.now, any_id(1));
+	g_assert_cmpint(poison_ask(p, w.now, &run), ==, POISON_CONDEMNED);
+	next = poison_trial_delay(p, w.now, any_id(1));
 	g_assert_cmpint(next, >, 2 * wait);
 	w.now += next;
-	g_assert_cmpint(poison_ask(p, w.now, &run), ==, POISON_GO);
-	poison_served(p, w.now, any_id(1));
-	poison_end(p, w.now, &run, false);
-	g_assert_cmpuint(poison_ends(p, any_id(1)), ==, 0);
-	g_assert_cmpint(poison_ask(p, w.now, &other), ==, POISON_GO);
+	g_assert_cmpint(poison_ask(p, w.now, &run), ==, POISON_SEND);
+	poison_answered(p, w.now, any_id(1));
+	poison_run_end(p, w.now, &run, false);
+	g_assert_cmpuint(poison_count_ends(p, any_id(1)), ==, 0);
+	g_assert_cmpint(poison_ask(p, w.now, &other), ==, POISON_SEND);
 	poison_world_finish(&w);
 }
 
@@ -204,19 +204,19 @@
 
 	poison_world_init(&w, 6, 12, 1);
 	for (i = 1; i <= POISON_ENDS; i++)
-		poison_ended(&w.nodes[i].core, w.now, any_id(1), i);
+		poison_server_ended(&w.nodes[i].core, w.now, any_id(1), i);
 	poison_world_run(&w, 500, 0, 0, 1);
 	for (i = 0; i < w.n; i++)
 		g_assert_true(
 		    poison_is_condemned(&w.nodes[i].core, w.now, any_id(1)));
-	poison_served(&w.nodes[5].core, w.now, any_id(1));
+	poison_answered(&w.nodes[5].core, w.now, any_id(1));
 	poison_world_run(&w, 1500, 0, 0, 1);
 	for (i = 0; i < w.n; i++)
 		g_assert_cmpuint(
-		    poison_ends(&w.nodes[i].core, any_id(1)), ==, 0);
+		    poison_count_ends(&w.nodes[i].core, any_id(1)), ==, 0);
 	/* A stale update does not restore the suspicion. */
 	poison_world_run(&w, 5000, 0, 0, 1);
-	g_assert_cmpuint(poison_ends(&w.nodes[0].core, any_id(1)), ==, 0);
+	g_assert_cmpuint(poison_count_ends(&w.nodes[0].core, any_id(1)), ==, 0);
 	poison_world_finish(&w);
 }
 
@@ -226,7 +226,7 @@
 	unsigned int i;
 
 	for (i = 1; i <= POISON_ENDS; i++)
-		poison_ended(&w->nodes[i].core, w->now, any_id(n), i);
+		poison_server_ended(&w->nodes[i].core, w->now, any_id(n), i);
 	poison_world_run(w, 60, 0, 0, 1);
 	for (i = 0; i < w->n; i++)
 		g_assert_true(
@@ -269,7 +269,7 @@
 	poison_world_init(&w, 6, 12, 1);
 	w.nodes[4].deaf = true;
 	for (i = 1; i <= POISON_ENDS; i++)
-		poison_ended(&w.nodes[i].core, w.now, any_id(1), i);
+		poison_server_ended(&w.nodes[i].core, w.now, any_id(1), i);
 	poison_world_run(&w, 2000, 0, 0, 1);
 	g_assert_false(poison_is_condemned(&w.nodes[4].core, w.now, any_id(1)));
 	w.nodes[4].deaf = false;
@@ -289,7 +289,8 @@
 	for (n = 1; n <= 20; n++) {
 		w.mail.lost_permille = 1000;
 		for (i = 1; i <= POISON_ENDS; i++)
-			poison_ended(&w.nodes[i].core, w.now, any_id(n), i);
+			poison_server_ended(
+			    &w.nodes[i].core, w.now, any_id(n), i);
 		poison_world_run(&w, 50, 0, 0, 1);
 		w.mail.lost_permille = 0;
 		poison_world_run(&w, 700, 0, 0, 1);
@@ -308,8 +309,8 @@
 	struct world w;
 
 	poison_world_init(&w, 6, 12, 1);
-	poison_ended(&w.nodes[1].core, w.now, poison_name(1), 1);
-	poison_ended(&w.nodes[2].core, w.now, poison_name(1), 2);
+	poison_server_ended(&w.nodes[1].core, w.now, poison_name(1), 1);
+	poison_server_ended(&w.nodes[2].core, w.now, poison_name(1), 2);
 	poison_world_run(&w, 60, 0, 0, 1);
 	first = poison_request_new(&w, &w.nodes[3], 1);
 	poison_world_run(&w, 15, 0, 0, 1);
@@ -333,14 +334,14 @@
 	condemn_everywhere(&w, 1);
 	w.nodes[5].cut = true;
 	poison_nodes_push(&w);
-	poison_served(&w.nodes[0].core, w.now, any_id(1));
+	poison_answered(&w.nodes[0].core, w.now, any_id(1));
 	poison_world_run(&w, 1500, 0, 0, 1);
 	w.nodes[5].cut = false;
 	poison_nodes_push(&w);
 	poison_world_run(&w, 4000, 0, 0, 1);
 	for (i = 0; i < 5; i++)
 		g_assert_cmpuint(
-		    poison_ends(&w.nodes[i].core, any_id(1)), ==, 0);
+		    poison_count_ends(&w.nodes[i].core, any_id(1)), ==, 0);
 	poison_world_finish(&w);
 }
 
@@ -357,8 +358,8 @@
 	poison_world_init(&w, 2, 4, 1);
 	for (i = 0; i < 2; i++)
 		w.nodes[i].cut = true;
-	poison_ended(&w.nodes[0].core, w.now, poison_name(1), 1);
-	poison_ended(&w.nodes[1].core, w.now, poison_name(1), 1);
+	poison_server_ended(&w.nodes[0].core, w.now, poison_name(1), 1);
+	poison_server_ended(&w.nodes[1].core, w.now, poison_name(1), 1);
 	for (i = 0; i < 2; i++) {
 		r = poison_request_new(&w, &w.nodes[i], 1);
 		poison_world_run(&w, 300, 0, 0, 1);
--- a/tests/test-share.c
+++ b/tests/test-share.c
@@ -154,7 +154,7 @@
 	if (!w.started[i] || w.fleet.nodes[i].paused ||
 	    w.fleet.nodes[i].members.self.leaving)
 		return;
-	if (!shares_take(
+	if (!shares_admit(
 		&w.shares[i], w.fleet.now, SERVICE, ORG, ANSWER_TOKENS))
 		return;
 	w.admitted++;
@@ -170,7 +170,7 @@
 
 	for (; *n > 0; (*n)--) {
 		w.running[i]--;
-		shares_done(&w.shares[i], w.fleet.now, SERVICE, ORG,
+		shares_request_ended(&w.shares[i], w.fleet.now, SERVICE, ORG,
 		    ANSWER_TOKENS, ANSWER_TOKENS);
 	}
 }
@@ -473,17 +473,17 @@
 
 	t = pair_init(&lender, &borrower, (struct doc_limits){ 0, 0, 2 });
 	for (i = 0; i < 2; i++)
-		shares_take(&borrower, t, SERVICE, ORG, 1);
+		shares_admit(&borrower, t, SERVICE, ORG, 1);
 	shares_receive(&lender, t, 12, &caught);
 	g_assert_cmpuint(caught.sp_msg_u.share.give, ==, 1000);
 	shares_receive(&borrower, t + 3, 11, &caught);
-	g_assert_true(shares_take(&borrower, t + 500, SERVICE, ORG, 1));
-	shares_done(&borrower, t + 1000, SERVICE, ORG, 1, 1);
+	g_assert_true(shares_admit(&borrower, t + 500, SERVICE, ORG, 1));
+	shares_request_ended(&borrower, t + 1000, SERVICE, ORG, 1, 1);
+	g_assert_false(shares_admit(
+	    &borrower, t + SHARE_LOAN_TERM - 100, SERVICE, ORG, 1));
 	g_assert_false(
-	    shares_take(&borrower, t + SHARE_LOAN - 100, SERVICE, ORG, 1));
-	g_assert_false(
-	    shares_take(&lender, t + SHARE_LOAN - 1, SERVICE, ORG, 1) &&
-	    shares_take(&lender, t + SHARE_LOAN - 1, SERVICE, ORG, 1));
+	    shares_admit(&lender, t + SHARE_LOAN_TERM - 1, SERVICE, ORG, 1) &&
+	    shares_admit(&lender, t + SHARE_LOAN_TERM - 1, SERVICE, ORG, 1));
 	shares_finish(&lender);
 	shares_finish(&borrower);
 }
@@ -503,33 +503,33 @@
 
 	t = pair_init(&lender, &borrower, (struct doc_limits){ 20, 0, 0 });
 	for (i = 0; i < 40; i++)
-		shares_take(&borrower, t, SERVICE, ORG, 1);
+		shares_admit(&borrower, t, SERVICE, ORG, 1);
 	shares_tick(&borrower, t);
 	ask = caught;
 	g_assert_cmpuint(ask.sp_msg_u.share.ask, >, 0);
 	shares_receive(&lender, t + 900, 12, &ask);
 	g_assert_cmpuint(caught.sp_msg_u.share.give, >, 0);
-	while (shares_take(&borrower, t + 1800, SERVICE, ORG, 1))
+	while (shares_admit(&borrower, t + 1800, SERVICE, ORG, 1))
 		;
 	shares_receive(&borrower, t + 1800, 11, &caught);
-	for (i = 0; shares_take(&borrower, t + 1800, SERVICE, ORG, 1); i++)
+	for (i = 0; shares_admit(&borrower, t + 1800, SERVICE, ORG, 1); i++)
 		;
 	g_assert_cmpuint(i, ==, caught.sp_msg_u.share.credit / 1000);
 	g_assert_cmpuint(i, >, 0);
 	/* A duplicate of the answer must not count twice. */
 	shares_receive(&borrower, t + 1800, 11, &caught);
-	g_assert_false(shares_take(&borrower, t + 1800, SERVICE, ORG, 1));
-	g_assert_cmpint(shares_allowance(&borrower, t + SHARE_LOAN - 1, SERVICE,
-			    ORG, SHARE_REQUESTS),
+	g_assert_false(shares_admit(&borrower, t + 1800, SERVICE, ORG, 1));
+	g_assert_cmpint(shares_allowance(&borrower, t + SHARE_LOAN_TERM - 1,
+			    SERVICE, ORG, SHARE_REQUESTS),
 	    ==, 10 * 1000 + (int)caught.sp_msg_u.share.give);
-	g_assert_cmpint(shares_allowance(&borrower, t + SHARE_LOAN, SERVICE,
-			    ORG, SHARE_REQUESTS),
+	g_assert_cmpint(shares_allowance(&borrower, t + SHARE_LOAN_TERM,
+			    SERVICE, ORG, SHARE_REQUESTS),
 	    ==, 10 * 1000);
-	g_assert_cmpint(shares_allowance(&lender, t + 899 + SHARE_LOAN, SERVICE,
-			    ORG, SHARE_REQUESTS),
+	g_assert_cmpint(shares_allowance(&lender, t + 899 + SHARE_LOAN_TERM,
+			    SERVICE, ORG, SHARE_REQUESTS),
 	    <, 10 * 1000);
-	g_assert_cmpint(shares_allowance(&lender, t + 900 + SHARE_LOAN, SERVICE,
-			    ORG, SHARE_REQUESTS),
+	g_assert_cmpint(shares_allowance(&lender, t + 900 + SHARE_LOAN_TERM,
+			    SERVICE, ORG, SHARE_REQUESTS),
 	    ==, 10 * 1000);
 	shares_finish(&lender);
 	shares_finish(&borrower);
@@ -578,7 +578,7 @@
 	shares_tick(&w.shares[0], w.fleet.now + 91 * MSEC_SECOND);
 	g_assert_cmpuint(shares_count(&w.shares[0]), ==, 0);
 	g_assert_true(
-	    shares_take(&w.shares[0], w.fleet.now, SERVICE, ORG + 1, 5));
+	    shares_admit(&w.shares[0], w.fleet.now, SERVICE, ORG + 1, 5));
 	g_assert_cmpuint(shares_count(&w.shares[0]), ==, 0);
 	world_finish();
 }
@@ -612,16 +612,16 @@
 
 	shares_init(&sh, &lone, self, 1, 0);
 	shares_set_nodes(&sh, 0, &self, 1);
-	for (now = 0; now < 4 * SHARE_RAISE; now += STEP) {
+	for (now = 0; now < 4 * SHARE_RAISE_DELAY; now += STEP) {
 		shares_tick(&sh, now);
-		if (early == 0 && shares_take(&sh, now, SERVICE, ORG, 1))
+		if (early == 0 && shares_admit(&sh, now, SERVICE, ORG, 1))
 			early = now;
-		if (now >= SHARE_RAISE / 2 && late == 0 &&
-		    shares_take(&sh, now, SERVICE, ORG + 1, 1))
+		if (now >= SHARE_RAISE_DELAY / 2 && late == 0 &&
+		    shares_admit(&sh, now, SERVICE, ORG + 1, 1))
 			late = now;
 	}
-	g_assert_cmpint(early, >=, SHARE_RAISE);
-	g_assert_cmpint(late, >=, SHARE_RAISE);
+	g_assert_cmpint(early, >=, SHARE_RAISE_DELAY);
+	g_assert_cmpint(late, >=, SHARE_RAISE_DELAY);
 	g_assert_cmpint(late, <=, early);
 	shares_finish(&sh);
 }
--- a/tests/test-ticket.c
+++ b/tests/test-ticket.c
@@ -13,7 +13,7 @@
 #define BODY 4711
 
 struct fixture {
-	struct ticket_book book;
+	struct ticket_registry book;
 	struct ticket ticket;
 	char text[TICKET_SIZE];
 	msec now;
@@ -23,14 +23,14 @@
 setup(struct fixture *x, gconstpointer arg)
 {
 	x->now = 5000;
-	ticket_book_init(&x->book, "entry-1", 42, KEY);
+	ticket_registry_init(&x->book, "entry-1", 42, KEY);
 	ticket_issue(&x->book, x->now, ORG, x->text);
 }
 
 static void
 teardown(struct fixture *x, gconstpointer arg)
 {
-	ticket_book_finish(&x->book);
+	ticket_registry_finish(&x->book);
 }
 
 static enum ticket_verdict
@@ -66,8 +66,8 @@
 test_unuse(struct fixture *x, gconstpointer arg)
 {
 	g_assert_cmpint(use(x, ORG, BODY), ==, TICKET_RUN);
-	ticket_unuse(&x->book, x->text);
-	ticket_unuse(&x->book, "no ticket");
+	ticket_mark_unused(&x->book, x->text);
+	ticket_mark_unused(&x->book, "no ticket");
 	g_assert_cmpint(use(x, ORG, BODY + 1), ==, TICKET_RUN);
 	g_assert_cmpint(use(x, ORG, BODY + 1), ==, TICKET_USED);
 }
@@ -92,9 +92,9 @@
 static void
 test_foreign(struct fixture *x, gconstpointer arg)
 {
-	g_assert_cmpint(use(x, ORG + 1, BODY), ==, TICKET_FOREIGN);
+	g_assert_cmpint(use(x, ORG + 1, BODY), ==, TICKET_OTHER_ORGANISATION);
 	g_assert_cmpint(use(x, ORG, BODY), ==, TICKET_RUN);
-	g_assert_cmpint(use(x, ORG + 1, BODY), ==, TICKET_FOREIGN);
+	g_assert_cmpint(use(x, ORG + 1, BODY), ==, TICKET_OTHER_ORGANISATION);
 }
 
 /*
@@ -115,29 +115,29 @@
 			if (letters[j] == good)
 				continue;
 			x->text[i] = letters[j];
-			g_assert_cmpint(use(x, ORG, BODY), ==, TICKET_FORGED);
+			g_assert_cmpint(use(x, ORG, BODY), ==, TICKET_INVALID);
 		}
 		x->text[i] = good;
 	}
 	x->text[n] = 'A';
 	x->text[n + 1] = '\0';
-	g_assert_cmpint(use(x, ORG, BODY), ==, TICKET_FORGED);
+	g_assert_cmpint(use(x, ORG, BODY), ==, TICKET_INVALID);
 	memset(x->text, 'A', sizeof x->text - 1);
 	x->text[sizeof x->text - 1] = '\0';
-	g_assert_cmpint(use(x, ORG, BODY), ==, TICKET_FORGED);
+	g_assert_cmpint(use(x, ORG, BODY), ==, TICKET_INVALID);
 }
 
 /* A ticket issued under another key, as by a node of another installation. */
 static void
 test_other_key(struct fixture *x, gconstpointer arg)
 {
-	struct ticket_book other;
+	struct ticket_registry other;
 
-	ticket_book_init(&other, "entry-1", 42, "another key, as long");
+	ticket_registry_init(&other, "entry-1", 42, "another key, as long");
 	g_assert_cmpint(
 	    ticket_use(&other, x->now, x->text, ORG, BODY, &x->ticket), ==,
-	    TICKET_FORGED);
-	ticket_book_finish(&other);
+	    TICKET_INVALID);
+	ticket_registry_finish(&other);
 }
 
 /*
@@ -148,20 +148,20 @@
 static void
 test_other_incarnation(struct fixture *x, gconstpointer arg)
 {
-	struct ticket_book again, other;
+	struct ticket_registry again, other;
 
 	g_assert_cmpint(use(x, ORG, BODY), ==, TICKET_RUN);
-	ticket_book_init(&again, "entry-1", 43, KEY);
+	ticket_registry_init(&again, "entry-1", 43, KEY);
 	g_assert_cmpint(
 	    ticket_use(&again, x->now, x->text, ORG, BODY, &x->ticket), ==,
-	    TICKET_DEAD);
-	ticket_book_finish(&again);
-	ticket_book_init(&other, "entry-2", 42, KEY);
+	    TICKET_OLD_INCARNATION);
+	ticket_registry_finish(&again);
+	ticket_registry_init(&other, "entry-2", 42, KEY);
 	g_assert_cmpint(
 	    ticket_use(&other, x->now, x->text, ORG, BODY, &x->ticket), ==,
-	    TICKET_ELSEWHERE);
+	    TICKET_OTHER_NODE);
 	g_assert_cmpstr(x->ticket.node, ==, "entry-1");
-	ticket_book_finish(&other);
+	ticket_registry_finish(&other);
 }
 
 /*
@@ -174,15 +174,15 @@
 	char unused[TICKET_SIZE];
 
 	ticket_issue(&x->book, x->now, ORG, unused);
-	x->now += TICKET_LIFE - 1;
+	x->now += TICKET_LIFETIME - 1;
 	g_assert_cmpint(use(x, ORG, BODY), ==, TICKET_RUN);
-	ticket_book_tick(&x->book, x->now);
+	ticket_registry_tick(&x->book, x->now);
 	g_assert_cmpint(use(x, ORG, BODY), ==, TICKET_USED);
 	x->now += 1;
 	g_assert_cmpint(
 	    ticket_use(&x->book, x->now, unused, ORG, BODY, &x->ticket), ==,
 	    TICKET_EXPIRED);
-	ticket_book_tick(&x->book, x->now);
+	ticket_registry_tick(&x->book, x->now);
 	g_assert_cmpint(use(x, ORG, BODY), ==, TICKET_EXPIRED);
 }
 
@@ -196,11 +196,11 @@
 {
 	char(*texts)[TICKET_SIZE] = g_malloc_n(2000, sizeof *texts);
 	unsigned int i, n = 33 * TICKET_BLOCKS_MAX;
-	size_t empty = ticket_book_memory(&x->book);
+	size_t empty = ticket_registry_memory(&x->book);
 
 	for (i = 0; i < 100000; i++)
 		ticket_issue(&x->book, x->now, ORG, texts[i % 2000]);
-	g_assert_cmpuint(ticket_book_memory(&x->book), ==, empty);
+	g_assert_cmpuint(ticket_registry_memory(&x->book), ==, empty);
 	g_assert_cmpint(use(x, ORG, BODY), ==, TICKET_RUN);
 	/* The worst case: one ticket of each block is used. */
 	for (i = 0; i < n; i++) {
@@ -212,16 +212,17 @@
 				    BODY, &x->ticket),
 		    ==, TICKET_RUN);
 	}
-	g_test_message("%zu bytes at the bound", ticket_book_memory(&x->book));
-	g_assert_cmpuint(ticket_book_memory(&x->book), <, 12 << 20);
+	g_test_message(
+	    "%zu bytes at the bound", ticket_registry_memory(&x->book));
+	g_assert_cmpuint(ticket_registry_memory(&x->book), <, 12 << 20);
 	g_assert_cmpint(
 	    ticket_use(&x->book, x->now, texts[1], ORG, BODY, &x->ticket), ==,
 	    TICKET_USED);
 	/* The record of the first use was dropped to make room. */
 	g_assert_cmpint(use(x, ORG, BODY), ==, TICKET_EXPIRED);
-	x->now += TICKET_LIFE;
-	ticket_book_tick(&x->book, x->now);
-	g_assert_cmpuint(ticket_book_memory(&x->book), ==, empty);
+	x->now += TICKET_LIFETIME;
+	ticket_registry_tick(&x->book, x->now);
+	g_assert_cmpuint(ticket_registry_memory(&x->book), ==, empty);
 	g_free(texts);
 }
 
--- a/tests/util-fuzz.c
+++ b/tests/util-fuzz.c
@@ -98,7 +98,7 @@
 	shares_tick(&sh, now += 10 * MSEC_SECOND);
 	for (i = 0; i < batch->msgs.msgs_len; i++) {
 		shares_receive(&sh, now, batch->from, &batch->msgs.msgs_val[i]);
-		shares_take(&sh, now, 1, 1, 100);
+		shares_admit(&sh, now, 1, 1, 100);
 		shares_tick(&sh, now += 300);
 	}
 	shares_tick(&sh, now + 100 * MSEC_SECOND);
@@ -169,10 +169,10 @@
 fuzz_ticket(const uint8_t *data, size_t len)
 {
 	g_autofree char *text = g_strndup((const char *)data, len);
-	struct ticket_book book;
+	struct ticket_registry book;
 	struct ticket ticket;
 
-	ticket_book_init(&book, "entry-1", 7, FUZZ_KEY);
+	ticket_registry_init(&book, "entry-1", 7, FUZZ_KEY);
 	ticket_use(&book, 1000, text, 1, 2, &ticket);
-	ticket_book_finish(&book);
+	ticket_registry_finish(&book);
 }
--- a/tests/util-poison.c
+++ b/tests/util-poison.c
@@ -83,7 +83,7 @@
 	r->server = server_draw(w);
 	r->attempts++;
 	if (r->server == NULL) {
-		poison_end(&r->node->core, w->now, &r->run, false);
+		poison_run_end(&r->node->core, w->now, &r->run, false);
 		request_over(w, r, false, false);
 		return;
 	}
@@ -103,7 +103,7 @@
 	struct request *r = run->arg;
 
 	w->held += v == POISON_HELD && r->poison == 0;
-	if (v == POISON_GO)
+	if (v == POISON_SEND)
 		request_go(w, r);
 	else
 		request_over(w, r, false, true);
@@ -114,7 +114,7 @@
 {
 	enum poison_verdict v = poison_ask(&r->node->core, w->now, &r->run);
 
-	if (v == POISON_GO)
+	if (v == POISON_SEND)
 		request_send(w, r);
 	else if (v != POISON_WAIT)
 		request_over(w, r, false, true);
@@ -133,7 +133,7 @@
 		    r->server == NULL || !poison_id_equal(r->run.id, id) ||
 		    r->poison == 0)
 			continue;
-		poison_end(p, now, &r->run, false);
+		poison_run_end(p, now, &r->run, false);
 		request_over(w, r, false, true);
 	}
 }
@@ -187,9 +187,9 @@
 		if (r->done || r->server != v)
 			continue;
 		r->server = NULL;
-		poison_end(&r->node->core, w->now, &r->run, true);
-		poison_ended(&r->node->core, w->now, r->run.id, life);
-		poison_settled(&r->node->core, w->now, r->run.id);
+		poison_run_end(&r->node->core, w->now, &r->run, true);
+		poison_server_ended(&r->node->core, w->now, r->run.id, life);
+		poison_server_checked(&r->node->core, w->now, r->run.id);
 		if (r->attempts < ATTEMPTS)
 			request_go(w, r);
 		else
@@ -211,8 +211,8 @@
 			server_end(w, r->server, r);
 			continue;
 		}
-		poison_served(&r->node->core, w->now, r->run.id);
-		poison_end(&r->node->core, w->now, &r->run, false);
+		poison_answered(&r->node->core, w->now, r->run.id);
+		poison_run_end(&r->node->core, w->now, &r->run, false);
 		request_over(w, r, true, false);
 	}
 }
@@ -277,13 +277,13 @@
 		r = g_ptr_array_index(w->requests, k);
 		if (r->node != v || r->done)
 			continue;
-		poison_end(&v->core, w->now, &r->run, false);
+		poison_run_end(&v->core, w->now, &r->run, false);
 		request_over(w, r, false, false);
 	}
 	for (k = 0; k < w->requests->len; k++) {
 		r = g_ptr_array_index(w->requests, k);
 		if (r->node == v)
-			poison_end(&v->core, w->now, &r->run, false);
+			poison_run_end(&v->core, w->now, &r->run, false);
 	}
 	poisons_finish(&v->core);
 	v->down = true;
@@ -319,7 +319,7 @@
 	for (k = 0; k < w->requests->len; k++) {
 		r = g_ptr_array_index(w->requests, k);
 		if (!r->node->down)
-			poison_end(&r->node->core, w->now, &r->run, false);
+			poison_run_end(&r->node->core, w->now, &r->run, false);
 	}
 	for (i = 0; i < w->n; i++) {
 		if (!w->nodes[i].down)
--- a/ticket.c
+++ b/ticket.c
@@ -33,15 +33,15 @@
 };
 RB_HEAD(ticket_block_tree, ticket_block);
 
-struct ticket_book_data {
+struct ticket_registry_data {
 	struct ticket_block_tree blocks;
 	unsigned int nblocks;
 	uint64_t next; /* serial */
-	uint64_t floor;
+	uint64_t min_serial;
 };
 
 /* A decoded ticket, with the time of issue that only its issuer reads. */
-struct ticket_full {
+struct ticket_decoded {
 	struct ticket ticket;
 	msec issued;
 };
@@ -51,17 +51,18 @@
 ticket_mac(const char *, const uint8_t *, size_t, uint8_t[MAC_SIZE]);
 static uint8_t *ticket_put(uint8_t *, uint64_t);
 static const uint8_t *ticket_get(const uint8_t *, uint64_t *);
-static void ticket_text(const uint8_t *, size_t, char[TICKET_SIZE]);
-static uint8_t *ticket_raw(const char *, size_t *);
-static bool ticket_parse(const char *, const char *, struct ticket_full *);
+static void ticket_encode_text(const uint8_t *, size_t, char[TICKET_SIZE]);
+static uint8_t *ticket_decode_text(const char *, size_t *);
+static bool ticket_parse(const char *, const char *, struct ticket_decoded *);
 static struct ticket_block *
-ticket_block_find(const struct ticket_book_data *, uint64_t);
+ticket_block_find(const struct ticket_registry_data *, uint64_t);
 static struct ticket_block *
-ticket_block_get(struct ticket_book_data *, uint64_t);
-static void ticket_block_drop(struct ticket_book_data *, struct ticket_block *);
-static void ticket_make_room(struct ticket_book_data *);
+ticket_block_get(struct ticket_registry_data *, uint64_t);
 static void
-ticket_remember(struct ticket_book *, const struct ticket_full *, uint64_t);
+ticket_block_drop(struct ticket_registry_data *, struct ticket_block *);
+static void ticket_evict(struct ticket_registry_data *);
+static void ticket_record_use(
+    struct ticket_registry *, const struct ticket_decoded *, uint64_t);
 
 RB_PROTOTYPE(ticket_block_tree, ticket_block, entry, ticket_block_compare)
 RB_GENERATE(ticket_block_tree, ticket_block, entry, ticket_block_compare)
@@ -75,19 +76,19 @@
 }
 
 void
-ticket_book_init(struct ticket_book *b, const char *node, uint64_t incarnation,
-    const char *key)
+ticket_registry_init(struct ticket_registry *b, const char *node,
+    uint64_t incarnation, const char *key)
 {
 	memset(b, 0, sizeof *b);
 	g_strlcpy(b->node, node, sizeof b->node);
 	b->incarnation = incarnation;
 	b->key = key;
-	b->priv = g_new0(struct ticket_book_data, 1);
+	b->priv = g_new0(struct ticket_registry_data, 1);
 	RB_INIT(&b->priv->blocks);
 }
 
 void
-ticket_book_finish(struct ticket_book *b)
+ticket_registry_finish(struct ticket_registry *b)
 {
 	struct ticket_block *block;
 
@@ -125,7 +126,7 @@
 }
 
 static void
-ticket_text(const uint8_t *raw, size_t len, char text[TICKET_SIZE])
+ticket_encode_text(const uint8_t *raw, size_t len, char text[TICKET_SIZE])
 {
 	g_autofree char *base64 = g_base64_encode(raw, len);
 
@@ -136,7 +137,7 @@
 }
 
 void
-ticket_issue(struct ticket_book *b, msec now, name_id organisation,
+ticket_issue(struct ticket_registry *b, msec now, name_id organisation,
     char text[TICKET_SIZE])
 {
 	size_t n = strlen(b->node);
@@ -151,12 +152,12 @@
 	memcpy(p, b->node, n);
 	p += n;
 	ticket_mac(b->key, raw, (size_t)(p - raw), p);
-	ticket_text(raw, (size_t)(p - raw) + MAC_SIZE, text);
+	ticket_encode_text(raw, (size_t)(p - raw) + MAC_SIZE, text);
 }
 
 /* Decode base64url; NULL if the text has characters outside its alphabet. */
 static uint8_t *
-ticket_raw(const char *text, size_t *len)
+ticket_decode_text(const char *text, size_t *len)
 {
 	static const char letters[] = "ABCDEFGHIJKLMNOPQRSTUVWXYZ"
 				      "abcdefghijklmnopqrstuvwxyz0123456789-_";
@@ -180,7 +181,7 @@
 }
 
 static bool
-ticket_parse(const char *text, const char *key, struct ticket_full *out)
+ticket_parse(const char *text, const char *key, struct ticket_decoded *out)
 {
 	g_autofree uint8_t *raw = NULL;
 	uint8_t mac[MAC_SIZE];
@@ -190,7 +191,7 @@
 	size_t len, n;
 
 	memset(out, 0, sizeof *out);
-	if ((raw = ticket_raw(text, &len)) == NULL)
+	if ((raw = ticket_decode_text(text, &len)) == NULL)
 		return false;
 	if (len < TICKET_HEAD_SIZE + 1 + MAC_SIZE || len > TICKET_RAW_MAX)
 		return false;
@@ -202,7 +203,7 @@
 	 * Accept only the canonical text: base64 decoders ignore the unused
 	 * bits of the last character, so other texts would decode as well.
 	 */
-	ticket_text(raw, len + MAC_SIZE, again);
+	ticket_encode_text(raw, len + MAC_SIZE, again);
 	if (strcmp(text, again) != 0)
 		return false;
 	p = ticket_get(raw + 1, &out->ticket.incarnation);
@@ -218,7 +219,7 @@
 }
 
 static struct ticket_block *
-ticket_block_find(const struct ticket_book_data *d, uint64_t serial)
+ticket_block_find(const struct ticket_registry_data *d, uint64_t serial)
 {
 	struct ticket_block find;
 
@@ -228,7 +229,7 @@
 }
 
 static void
-ticket_block_drop(struct ticket_book_data *d, struct ticket_block *block)
+ticket_block_drop(struct ticket_registry_data *d, struct ticket_block *block)
 {
 	RB_REMOVE(ticket_block_tree, &d->blocks, block);
 	d->nblocks--;
@@ -236,7 +237,7 @@
 }
 
 static struct ticket_block *
-ticket_block_get(struct ticket_book_data *d, uint64_t serial)
+ticket_block_get(struct ticket_registry_data *d, uint64_t serial)
 {
 	struct ticket_block *block, *old;
 
@@ -252,7 +253,7 @@
 
 /* Tickets below the floor have expired, so their uses need no record. */
 static void
-ticket_make_room(struct ticket_book_data *d)
+ticket_evict(struct ticket_registry_data *d)
 {
 	struct ticket_block *block;
 
@@ -260,13 +261,14 @@
 		return;
 	log_debug("too many used tickets, the oldest expire early");
 	block = RB_MIN(ticket_block_tree, &d->blocks);
-	d->floor = MAX(d->floor, (block->number + 1) * TICKET_BLOCK_SIZE);
+	d->min_serial =
+	    MAX(d->min_serial, (block->number + 1) * TICKET_BLOCK_SIZE);
 	ticket_block_drop(d, block);
 }
 
 static void
-ticket_remember(
-    struct ticket_book *b, const struct ticket_full *t, uint64_t body)
+ticket_record_use(
+    struct ticket_registry *b, const struct ticket_decoded *t, uint64_t body)
 {
 	struct ticket_block *block =
 	    ticket_block_get(b->priv, t->ticket.serial);
@@ -275,46 +277,46 @@
 	block->used |= 1U << i;
 	block->body[i] = body;
 	block->issued = MAX(block->issued, t->issued);
-	ticket_make_room(b->priv);
+	ticket_evict(b->priv);
 }
 
 enum ticket_verdict
-ticket_use(struct ticket_book *b, msec now, const char *text,
+ticket_use(struct ticket_registry *b, msec now, const char *text,
     name_id organisation, uint64_t body, struct ticket *out)
 {
-	struct ticket_book_data *d = b->priv;
+	struct ticket_registry_data *d = b->priv;
 	const struct ticket_block *block;
-	struct ticket_full t;
+	struct ticket_decoded t;
 	unsigned int i;
 
 	if (!ticket_parse(text, b->key, &t)) {
 		memset(out, 0, sizeof *out);
-		return TICKET_FORGED;
+		return TICKET_INVALID;
 	}
 	*out = t.ticket;
 	if (out->organisation != organisation)
-		return TICKET_FOREIGN;
+		return TICKET_OTHER_ORGANISATION;
 	if (strcmp(out->node, b->node) != 0)
-		return TICKET_ELSEWHERE;
+		return TICKET_OTHER_NODE;
 	if (out->incarnation != b->incarnation)
-		return TICKET_DEAD;
+		return TICKET_OLD_INCARNATION;
 	if (out->serial >= d->next)
-		return TICKET_FORGED;
+		return TICKET_INVALID;
 	i = out->serial % TICKET_BLOCK_SIZE;
 	block = ticket_block_find(d, out->serial);
 	if (block != NULL && (block->used & (1U << i)) != 0)
 		return block->body[i] == body ? TICKET_USED : TICKET_OTHER_BODY;
-	if (now - t.issued >= TICKET_LIFE || out->serial < d->floor)
+	if (now - t.issued >= TICKET_LIFETIME || out->serial < d->min_serial)
 		return TICKET_EXPIRED;
-	ticket_remember(b, &t, body);
+	ticket_record_use(b, &t, body);
 	return TICKET_RUN;
 }
 
 void
-ticket_unuse(struct ticket_book *b, const char *text)
+ticket_mark_unused(struct ticket_registry *b, const char *text)
 {
 	struct ticket_block *block;
-	struct ticket_full t;
+	struct ticket_decoded t;
 
 	if (!ticket_parse(text, b->key, &t))
 		return;
@@ -324,20 +326,20 @@
 }
 
 void
-ticket_book_tick(struct ticket_book *b, msec now)
+ticket_registry_tick(struct ticket_registry *b, msec now)
 {
-	struct ticket_book_data *d = b->priv;
+	struct ticket_registry_data *d = b->priv;
 	struct ticket_block *block;
 
 	while ((block = RB_MIN(ticket_block_tree, &d->blocks)) != NULL) {
-		if (now - block->issued < TICKET_LIFE)
+		if (now - block->issued < TICKET_LIFETIME)
 			return;
 		ticket_block_drop(d, block);
 	}
 }
 
 size_t
-ticket_book_memory(const struct ticket_book *b)
+ticket_registry_memory(const struct ticket_registry *b)
 {
 	return sizeof *b->priv + b->priv->nblocks * sizeof(struct ticket_block);
 }
