--- a/duty.c
+++ b/duty.c
@@ -476,8 +476,7 @@
 	}
 	if (!d->pending && now >= d->next)
 		duty_append(d, now, d->end, false);
-	/* After its lease expires it sends no heartbeat, so others take over.
-	 */
+	/* Without a lease, send no heartbeat, so that others take over. */
 	if (now >= d->next_heartbeat && now < d->until) {
 		d->next_heartbeat = now + d->lease / DUTY_RENEWALS;
 		duty_beat(d, 0);
--- a/duty.h
+++ b/duty.h
@@ -36,8 +36,7 @@
 enum duty_result {
 	DUTY_ACCEPTED, /* its first record is at the expected offset */
 	DUTY_REFUSED,  /* the log ends elsewhere; nothing was appended */
-	DUTY_UNKNOWN /* no answer: the append may have succeeded or may still do
-			so */
+	DUTY_UNKNOWN   /* no answer: appended, not appended, or still to be */
 };
 
 /* Callbacks; all are required. None may call duty_*() functions. */
@@ -65,9 +64,8 @@
 	uint64_t claims, renewals, refused, unknown;
 	uint64_t lost;	  /* another node took over, or the token was refused */
 	uint64_t expired; /* the lease expired before a renewal */
-	uint64_t rolled_back; /* the log was rolled back while this node was the
-			     holder */
-	uint64_t dropped;     /* invalid messages */
+	uint64_t rolled_back;	/* the log was rolled back at a holder */
+	uint64_t dropped;	/* invalid messages */
 	msec ms_without_holder; /* ms without a known holder */
 };
 
--- a/lease.c
+++ b/lease.c
@@ -144,7 +144,7 @@
 	       f->missing_until < f->wall - LEASE_MAX_AGE;
 }
 
-/* Whether this is the first claim that replaces a claim in `unjudged`. */
+/* Whether this is the first claim that replaces an unresolved claim. */
 static bool
 claim_replaces_unresolved(const struct lease *l, uint64_t replaces)
 {
@@ -160,9 +160,9 @@
 }
 
 /*
- * Store a claim that cannot be judged. If the oldest is dropped, a claim that
- * replaces it cannot be judged either; all claims that replace a younger one
- * are still stored.
+ * Store a claim while the record in force is unknown. If the oldest one is
+ * dropped, a claim that replaces it stays unresolved too; all claims that
+ * replace a younger one are still stored.
  */
 static void
 claim_store_unresolved(struct lease *l, uint64_t offset, uint64_t replaces)
@@ -190,7 +190,7 @@
 	return claim_replaces_unresolved(l, replaces);
 }
 
-/* Handle a claim that is rejected or cannot be judged. */
+/* Handle a claim that is rejected, or unresolved. */
 static void
 claim_rejected(struct lease_fold *f, struct lease *l, const char *service,
     uint64_t offset, uint64_t replaces)
@@ -216,8 +216,7 @@
 	name_id holder;
 	struct lease *l;
 
-	/* A challenger waits at most LEASE_TERM, so a longer term is invalid.
-	 */
+	/* Challengers wait at most LEASE_TERM, so a longer term is invalid. */
 	if (!record_decode(o, &service, &replaces, &holder, &incarnation) ||
 	    !log_record_uint(o, "term_ms", &term) || term > LEASE_TERM) {
 		f->skipped++;
@@ -334,8 +333,7 @@
 	if (u->pending && now < u->sent_at + LEASE_TERM / 2)
 		return LEASE_NOTHING;
 	if (l == NULL) {
-		/* Unknown: wait until every fold has forgotten the old lease.
-		 */
+		/* Unknown: wait until all folds have forgotten the old one. */
 		if (f->missing_until != -MSEC_NEVER &&
 		    now < f->gap_at + LEASE_MAX_AGE + LEASE_CLOCK_MARGIN)
 			return LEASE_NOTHING;
@@ -401,8 +399,7 @@
 	struct lease *l = lease_fold_find(f, u->service);
 
 	if (l == NULL) {
-		/* A claim that replaces a forgotten record cannot be accepted.
-		 */
+		/* A claim on a forgotten record cannot be accepted. */
 		u->fencing = 0;
 		u->pending = u->pending && u->replaces == 0;
 		return;
--- a/poison-private.h
+++ b/poison-private.h
@@ -40,7 +40,7 @@
 /* The owner of a request, and its deputy; 0: there is no deputy. */
 void poison_share_owners(
     const struct poisons *, struct poison_id, name_id *, name_id *);
-/* A record changed here (`ours`) or by a message; schedule its distribution. */
+/* Schedule sending a record that changed here (`seen_here`) or by a message. */
 void poison_share_changed(
     struct poisons *, msec, struct poison_record *, bool seen_here);
 /* A record is about to be freed. */
--- a/poison.h
+++ b/poison.h
@@ -221,8 +221,7 @@
 void poisons_receive(struct poisons *, msec, name_id, const sp_msg *);
 /* Run due work. Returns the time of the next call. */
 msec poisons_tick(struct poisons *, msec);
-/* Write the state as text: a line per record with two ends or more, and a sum.
- */
+/* Write a line for each record with several ends, and one for the totals. */
 void poisons_dump(const struct poisons *, GString *, msec);
 
 #endif /* POISON_H */
--- a/share.c
+++ b/share.c
@@ -33,8 +33,7 @@
 #define SHARE_ASKS_MAX 8
 /* Random choices of a lender before all nodes are scanned. */
 #define SHARE_RANDOM_TRIES 8
-/* The windows between unanswered requests double up to 1 << SHARE_BACKOFF_MAX.
- */
+/* The wait between requests without a loan doubles up to 2^this windows. */
 #define SHARE_BACKOFF_MAX 3
 /* Organisations idle for this long are removed from memory. */
 #define SHARE_IDLE (60 * MSEC_SECOND)
@@ -66,11 +65,10 @@
 	int64_t target; /* this node's part of the limit */
 	/* Minimum target in each period; [0] is the current one. */
 	int64_t min_targets[SHARE_PERIODS];
-	uint64_t max_owner_rank; /* nodes up to this rank have a share */
-	unsigned int
-	    failed_windows;   /* windows with requests since the last loan */
-	unsigned int backoff; /* windows until the next request */
-	bool asked;	      /* a loan was requested in this window */
+	uint64_t max_owner_rank;     /* nodes up to this rank have a share */
+	unsigned int failed_windows; /* with requests, since the last loan */
+	unsigned int backoff;	     /* windows until the next request */
+	bool asked;		     /* a loan was requested in this window */
 	struct share_loan_list loans;
 	struct share_borrowing_list borrowings;
 	int64_t lent, borrowed;
@@ -104,8 +102,8 @@
 	bool takes_work;
 	/* Maximum number of nodes in each period; [0] is the current one. */
 	unsigned int max_nodes[SHARE_PERIODS];
-	unsigned int startup_periods; /* periods in which shares are limited by
-					 start-up */
+	/* Remaining periods in which earlier ones count as 0 after start-up. */
+	unsigned int startup_periods;
 	msec next_period;
 	msec next_window;
 	uint32_t seq;
@@ -660,8 +658,7 @@
 		if (share_is_lender(d, o, part, id))
 			return id;
 	}
-	/* Few nodes have a share of a small limit, or most have lent already.
-	 */
+	/* Few nodes have a share of a small limit, or most have lent it. */
 	for (i = 0; i < d->nodes->len; i++) {
 		id = g_array_index(d->nodes, name_id, i);
 		if (!share_is_lender(d, o, part, id))
@@ -712,8 +709,7 @@
 		borrowing->node = node;
 		TAILQ_INSERT_TAIL(&part->borrowings, borrowing, entry);
 	}
-	/* Request the total amount, as the answer replaces the existing loan.
-	 */
+	/* Request the total amount, as the answer replaces the old loan. */
 	ask = MIN(ask + borrowing->amount, part->limit);
 	if (ask <= 0)
 		return;
@@ -789,8 +785,7 @@
 	}
 }
 
-/* An organisation with loans is not idle: they must be kept until they expire.
- */
+/* An organisation with loans is not idle; they are kept until they expire. */
 static bool
 share_is_idle(const struct share_org *o, msec now)
 {
--- a/share.h
+++ b/share.h
@@ -40,9 +40,9 @@
 
 /* Callbacks; both are required. */
 struct share_ops {
-	/* Send a message, which may be lost. Must not call shares_*(). */
+	/* Send to a node; may be dropped. Must not call back. */
 	void (*send)(struct shares *, name_id, const sp_msg *);
-	/* Get the limits of a service's organisation; false: no limits. */
+	/* The limits in force of a service's organisation; false: none. */
 	bool (*limits)(struct shares *, name_id, name_id, struct doc_limits *);
 };
 
@@ -57,7 +57,7 @@
 	const struct share_ops *ops;
 	struct share_counters counters;
 	struct share_data *priv;
-	void *arg; /* for the caller's use */
+	void *arg; /* the embedder's */
 };
 
 /* Arguments: the local node's id, a random seed, the time. */
--- a/ticket.c
+++ b/ticket.c
@@ -4,8 +4,9 @@
  *
  * Serial numbers increase with time, so used tickets are recorded in blocks of
  * consecutive serial numbers, and the oldest blocks are dropped first. A ticket
- * takes no memory until it is used. Tickets below `floor` are not recorded and
- * count as expired, so none of them is executed twice.
+ * takes no memory until it is used. Tickets with a serial number below
+ * `min_serial` are not recorded and count as expired, so none of them is
+ * executed twice.
  */
 
 #define LOG_PART "ticket"
@@ -36,7 +37,7 @@
 struct ticket_registry_data {
 	struct ticket_block_tree blocks;
 	unsigned int nblocks;
-	uint64_t next; /* serial */
+	uint64_t next; /* serial number of the next ticket */
 	uint64_t min_serial;
 };
 
@@ -251,7 +252,7 @@
 	return block;
 }
 
-/* Tickets below the floor have expired, so their uses need no record. */
+/* Tickets below `min_serial` have expired, so their uses need no record. */
 static void
 ticket_evict(struct ticket_registry_data *d)
 {
--- a/ticket.h
+++ b/ticket.h
@@ -35,8 +35,7 @@
 	TICKET_USED,	   /* issued here, used before: see the first use */
 	TICKET_OTHER_NODE, /* issued by another node: forward to it, or answer
 			     "unknown" if that incarnation has ended */
-	TICKET_OLD_INCARNATION, /* issued by an earlier incarnation of this node
-				 */
+	TICKET_OLD_INCARNATION, /* issued by an earlier process here */
 	TICKET_EXPIRED, /* too old; this use has not executed anything */
 	TICKET_OTHER_ORGANISATION, /* issued to another organisation */
 	TICKET_OTHER_BODY,	   /* used before with another request body */
