--- a/daemon-metrics.c
+++ b/daemon-metrics.c
@@ -20,7 +20,7 @@
 		.tokens = c->request.tokens,
 		.repeats = c->request.repeats };
 
-	metrics_request(
+	metrics_count_request(
 	    d->metrics, doc->service, &doc->classes[c->class_index], &sample);
 }
 
--- a/member-list.c
+++ b/member-list.c
@@ -9,11 +9,12 @@
 
 #include <string.h>
 
-static bool list_held_back(struct members *, const struct vm *, unsigned int);
+static bool
+list_is_implausible(struct members *, const struct vm *, unsigned int);
 static unsigned int
 list_mark_seen(struct members *, const struct vm *, unsigned int);
-static void list_take_vm(struct members *, msec, const struct vm *);
-static void list_take_leaving(struct members *, msec, struct member *, bool);
+static void list_apply_vm(struct members *, msec, const struct vm *);
+static void list_apply_leaving(struct members *, msec, struct member *, bool);
 
 /* Marks the members that are listed; returns the number of entry VMs listed. */
 static unsigned int
@@ -23,13 +24,13 @@
 	struct member *m;
 
 	RB_FOREACH (m, member_tree, &ms->tree)
-		m->seen = false;
+		m->on_new_list = false;
 	for (i = 0; i < n; i++) {
 		if (strcmp(vms[i].kind, "entry") != 0)
 			continue;
 		entries++;
 		if ((m = members_find(ms, name_hash(vms[i].name))) != NULL)
-			m->seen = true;
+			m->on_new_list = true;
 	}
 	return entries;
 }
@@ -42,7 +43,7 @@
  * members that really are gone stop answering probes and no longer count here.
  */
 static bool
-list_held_back(struct members *ms, const struct vm *vms, unsigned int n)
+list_is_implausible(struct members *ms, const struct vm *vms, unsigned int n)
 {
 	unsigned int listed = 0, lost = 0;
 	struct member *m;
@@ -53,7 +54,7 @@
 		if (!m->listed || !member_is_live(m))
 			continue;
 		listed++;
-		if (!m->seen)
+		if (!m->on_new_list)
 			lost++;
 	}
 	return lost * 2 > listed;
@@ -66,15 +67,15 @@
  * list has shown as live before, or that is older than the list's maximum lag.
  */
 static void
-list_take_leaving(struct members *ms, msec now, struct member *m, bool leaving)
+list_apply_leaving(struct members *ms, msec now, struct member *m, bool leaving)
 {
 	if (!leaving) {
-		m->listed_live = m->incarnation;
+		m->listed_live_incarnation = m->incarnation;
 		return;
 	}
 	if (m->leaving || m->incarnation == 0)
 		return;
-	if (m->listed_live != m->incarnation &&
+	if (m->listed_live_incarnation != m->incarnation &&
 	    now - m->incarnation_since < ms->priv->list_lag) {
 		log_debug(
 		    "VM list marks %s as leaving, may be an earlier process",
@@ -85,18 +86,18 @@
 	if (m == &ms->self)
 		members_leave(ms, now);
 	else
-		member_set(ms, now, m, m->state, true);
+		member_set_state(ms, now, m, m->state, true);
 }
 
 static void
-list_take_vm(struct members *ms, msec now, const struct vm *vm)
+list_apply_vm(struct members *ms, msec now, const struct vm *vm)
 {
 	name_id id = name_hash(vm->name);
 	struct member *m;
 
 	if (id == ms->self.id) {
 		ms->self.listed = true;
-		list_take_leaving(ms, now, &ms->self, vm->leaving);
+		list_apply_leaving(ms, now, &ms->self, vm->leaving);
 		return;
 	}
 	if (!name_valid(vm->name) || vm->address == 0 || vm->port == 0)
@@ -104,13 +105,13 @@
 	if ((m = members_find(ms, id)) == NULL &&
 	    (m = member_add(ms, now, id, vm->name)) == NULL)
 		return;
-	m->seen = true;
+	m->on_new_list = true;
 	m->listed = true;
 	m->address = vm->address;
 	m->peer_port = vm->port;
 	if (m->incarnation == 0)
 		g_strlcpy(m->domain, vm->domain, sizeof m->domain);
-	list_take_leaving(ms, now, m, vm->leaving);
+	list_apply_leaving(ms, now, m, vm->leaving);
 }
 
 bool
@@ -120,7 +121,7 @@
 	struct member *m;
 	unsigned int i;
 
-	if (list_held_back(ms, vms, n)) {
+	if (list_is_implausible(ms, vms, n)) {
 		log_debug("implausible VM list of %u entries rejected", n);
 		ms->counters.lists_held++;
 		return false;
@@ -128,26 +129,28 @@
 	ms->self.listed = false;
 	for (i = 0; i < n; i++) {
 		if (strcmp(vms[i].kind, "entry") == 0)
-			list_take_vm(ms, now, &vms[i]);
+			list_apply_vm(ms, now, &vms[i]);
 	}
 	RB_FOREACH (m, member_tree, &ms->tree)
-		m->listed = m->listed && m->seen;
+		m->listed = m->listed && m->on_new_list;
 	return true;
 }
 
 /*
- * Removes members that are unlisted and have been dead for MEMBER_FORGET. A
- * member that is not listed but answers stays, as the list lags behind new VMs.
+ * Removes members that are unlisted and have been dead for
+ * MEMBER_DEAD_RETENTION. A member that is not listed but answers stays, as the
+ * list lags behind new VMs.
  */
 void
-member_list_sweep(struct members *ms, msec now)
+member_remove_expired(struct members *ms, msec now)
 {
 	struct member *m, *next;
 
 	RB_FOREACH_SAFE (m, member_tree, &ms->tree, next) {
 		if (m->listed || member_is_live(m))
 			continue;
-		if (m->incarnation != 0 && now < m->state_since + MEMBER_FORGET)
+		if (m->incarnation != 0 &&
+		    now < m->state_since + MEMBER_DEAD_RETENTION)
 			continue;
 		log_debug("%s removed: unlisted and dead", m->name);
 		member_remove(ms, m);
--- a/member-news.c
+++ b/member-news.c
@@ -15,45 +15,45 @@
 #include <string.h>
 
 /* Bytes on the wire of one update without its two names. */
-#define NEWS_FIXED 52
+#define UPDATE_FIXED_BYTES 52
 
-static unsigned int news_copies(const struct members *);
-static unsigned int news_size(const sp_news *);
-static bool news_valid(const sp_news *);
-static unsigned int news_rank(enum member_state);
-static void news_merge_self(struct members *, msec, const sp_news *);
-static void news_apply(struct members *, msec, struct member *, const sp_news *,
-    enum member_state, bool);
-static void loads_note(struct member *, msec, uint64_t, unsigned int);
+static unsigned int update_transmissions(const struct members *);
+static unsigned int update_size(const sp_news *);
+static bool update_is_valid(const sp_news *);
+static unsigned int state_rank(enum member_state);
+static void update_merge_self(struct members *, msec, const sp_news *);
+static void update_apply(struct members *, msec, struct member *,
+    const sp_news *, enum member_state, bool);
+static void member_record_load(struct member *, msec, uint64_t, unsigned int);
 
 /* Transmissions after which an update has reached all members with high
  * probability. */
 static unsigned int
-news_copies(const struct members *ms)
+update_transmissions(const struct members *ms)
 {
 	return 4 + 2 * g_bit_storage(ms->priv->live + 1);
 }
 
 void
-member_news_queue(struct members *ms, struct member *m)
+member_queue_update(struct members *ms, struct member *m)
 {
-	member_news_drop(ms, m);
-	m->news_left = news_copies(ms);
-	TAILQ_INSERT_HEAD(&ms->priv->news, m, news_entry);
+	member_unqueue_update(ms, m);
+	m->transmissions_left = update_transmissions(ms);
+	TAILQ_INSERT_HEAD(&ms->priv->update_queue, m, update_entry);
 }
 
 void
-member_news_drop(struct members *ms, struct member *m)
+member_unqueue_update(struct members *ms, struct member *m)
 {
-	if (m->news_left == 0)
+	if (m->transmissions_left == 0)
 		return;
-	m->news_left = 0;
-	TAILQ_REMOVE(&ms->priv->news, m, news_entry);
+	m->transmissions_left = 0;
+	TAILQ_REMOVE(&ms->priv->update_queue, m, update_entry);
 }
 
 /* Borrows the member's names; they are not copied. */
 void
-member_news_of(const struct member *m, sp_news *n)
+member_make_update(const struct member *m, sp_news *n)
 {
 	n->name = (char *)m->name;
 	n->domain = (char *)m->domain;
@@ -68,20 +68,21 @@
 }
 
 static unsigned int
-news_size(const sp_news *n)
+update_size(const sp_news *n)
 {
-	return NEWS_FIXED + (unsigned int)((strlen(n->name) + 3) & ~3U) +
+	return UPDATE_FIXED_BYTES +
+	       (unsigned int)((strlen(n->name) + 3) & ~3U) +
 	       (unsigned int)((strlen(n->domain) + 3) & ~3U);
 }
 
 /*
- * Fills out_news with the update about `about`, if any, then with queued ones.
- * `about` is the receiver when it is suspect or dead here, as it can refute
- * only what it receives, or the local node when the receiver's incarnation is
- * unknown.
+ * Fills out_updates with the update about `about`, if any, then with queued
+ * ones. `about` is the receiver when it is suspect or dead here, as it can
+ * refute only what it receives, or the local node when the receiver's
+ * incarnation is unknown.
  */
 unsigned int
-member_news_fill(struct members *ms, const struct member *about)
+member_fill_updates(struct members *ms, const struct member *about)
 {
 	struct member_state_data *p = ms->priv;
 	struct member_queue later;
@@ -90,28 +91,30 @@
 
 	TAILQ_INIT(&later);
 	if (about != NULL) {
-		member_news_of(about, &p->out_news[n]);
-		bytes += news_size(&p->out_news[n++]);
+		member_make_update(about, &p->out_updates[n]);
+		bytes += update_size(&p->out_updates[n++]);
 	}
-	while (n < SAVORY_NEWS_MAX && (m = TAILQ_FIRST(&p->news)) != NULL) {
-		member_news_of(m, &p->out_news[n]);
-		if (bytes + news_size(&p->out_news[n]) > MEMBER_NEWS_BYTES)
+	while (n < SAVORY_NEWS_MAX &&
+	       (m = TAILQ_FIRST(&p->update_queue)) != NULL) {
+		member_make_update(m, &p->out_updates[n]);
+		if (bytes + update_size(&p->out_updates[n]) >
+		    MEMBER_UPDATES_BYTES)
 			break;
-		TAILQ_REMOVE(&p->news, m, news_entry);
-		if (--m->news_left > 0)
-			TAILQ_INSERT_TAIL(&later, m, news_entry);
+		TAILQ_REMOVE(&p->update_queue, m, update_entry);
+		if (--m->transmissions_left > 0)
+			TAILQ_INSERT_TAIL(&later, m, update_entry);
 		if (m == about)
 			continue;
-		bytes += news_size(&p->out_news[n++]);
+		bytes += update_size(&p->out_updates[n++]);
 	}
-	TAILQ_CONCAT(&p->news, &later, news_entry);
+	TAILQ_CONCAT(&p->update_queue, &later, update_entry);
 	ms->counters.news_sent += n;
 	return n;
 }
 
 /* The HMAC proves that a node sent the update, not that it is valid. */
 static bool
-news_valid(const sp_news *n)
+update_is_valid(const sp_news *n)
 {
 	if (!name_valid(n->name) || !name_valid(n->domain))
 		return false;
@@ -126,7 +129,7 @@
 }
 
 static unsigned int
-news_rank(enum member_state state)
+state_rank(enum member_state state)
 {
 	if (state == MEMBER_DEAD)
 		return 2;
@@ -141,7 +144,7 @@
  * in this case: once joined, its incarnation was the greatest.
  */
 static bool
-news_of_predecessor(const struct members *ms, const sp_news *n)
+update_is_about_predecessor(const struct members *ms, const sp_news *n)
 {
 	const struct member *self = &ms->self;
 
@@ -150,18 +153,19 @@
 }
 
 static void
-news_merge_self(struct members *ms, msec now, const sp_news *n)
+update_merge_self(struct members *ms, msec now, const sp_news *n)
 {
 	struct member *self = &ms->self;
 
-	if (n->incarnation > self->incarnation && news_of_predecessor(ms, n)) {
+	if (n->incarnation > self->incarnation &&
+	    update_is_about_predecessor(ms, n)) {
 		log_info("an earlier process of %s had a greater incarnation, "
 			 "using the next one",
 		    self->name);
 		self->incarnation = n->incarnation + 1;
 		self->incarnation_since = now;
 		self->refutation = 0;
-		member_news_queue(ms, self);
+		member_queue_update(ms, self);
 		ms->ops->changed(ms, self);
 		return;
 	}
@@ -178,12 +182,12 @@
 		return;
 	}
 	if (n->incarnation < self->incarnation) {
-		member_news_queue(ms, self);
+		member_queue_update(ms, self);
 		return;
 	}
 	if (n->leaving && !self->leaving)
 		members_leave(ms, now);
-	if (news_rank((enum member_state)n->state) == 0)
+	if (state_rank((enum member_state)n->state) == 0)
 		return;
 	if (n->refutation >= self->refutation) {
 		self->refutation = n->refutation + 1;
@@ -195,18 +199,18 @@
 	 * The refutation is sent again also for a suspicion refuted before:
 	 * all copies of the first refutation may have been lost in a partition.
 	 */
-	member_news_queue(ms, self);
+	member_queue_update(ms, self);
 }
 
 static void
-news_apply(struct members *ms, msec now, struct member *m, const sp_news *n,
+update_apply(struct members *ms, msec now, struct member *m, const sp_news *n,
     enum member_state state, bool leaving)
 {
 	if (n->incarnation > m->incarnation) {
 		m->incarnation = n->incarnation;
 		m->incarnation_since = now;
 		m->load_at = MSEC_NEVER;
-		m->offered = 0;
+		m->answers_since_load = 0;
 	}
 	m->refutation = MAX(n->refutation, m->refutation);
 	g_strlcpy(m->domain, n->domain, sizeof m->domain);
@@ -216,24 +220,24 @@
 		m->address = n->address;
 		m->peer_port = (uint16_t)n->peer_port;
 	}
-	member_set(ms, now, m, state, leaving);
+	member_set_state(ms, now, m, state, leaving);
 }
 
 void
-member_news_merge(struct members *ms, msec now, const sp_news *n)
+member_merge_update(struct members *ms, msec now, const sp_news *n)
 {
 	enum member_state state = (enum member_state)n->state;
 	bool leaving = n->leaving || n->state == SP_LEAVING;
 	struct member *m;
 	name_id id;
 
-	if (!news_valid(n))
+	if (!update_is_valid(n))
 		return;
 	if (state == MEMBER_LEAVING)
 		state = MEMBER_ALIVE;
 	id = name_hash(n->name);
 	if (id == ms->self.id) {
-		news_merge_self(ms, now, n);
+		update_merge_self(ms, now, n);
 		return;
 	}
 	if ((m = members_find(ms, id)) == NULL) {
@@ -246,27 +250,28 @@
 		return;
 	if (n->incarnation > m->incarnation) {
 		m->refutation = 0;
-		news_apply(ms, now, m, n, state, leaving);
+		update_apply(ms, now, m, n, state, leaving);
 		return;
 	}
 	leaving = leaving || m->leaving;
 	if (n->refutation > m->refutation ||
 	    (n->refutation == m->refutation &&
-		news_rank(state) > news_rank(m->state)))
-		news_apply(ms, now, m, n, state, leaving);
+		state_rank(state) > state_rank(m->state)))
+		update_apply(ms, now, m, n, state, leaving);
 	else if (leaving && !m->leaving)
-		member_set(ms, now, m, m->state, true);
+		member_set_state(ms, now, m, m->state, true);
 }
 
 static void
-loads_note(struct member *m, msec at, uint64_t version, unsigned int load)
+member_record_load(
+    struct member *m, msec at, uint64_t version, unsigned int load)
 {
 	if (m->load_at != MSEC_NEVER && at <= m->load_at)
 		return;
 	m->load_at = at;
 	m->document_version = version;
 	m->load_permille = load;
-	m->offered = 0;
+	m->answers_since_load = 0;
 }
 
 /*
@@ -276,25 +281,25 @@
  * which is enough for the choice between two random candidates (directory.c).
  */
 unsigned int
-member_loads_fill(struct members *ms, msec now, name_id receiver)
+member_fill_loads(struct members *ms, msec now, name_id receiver)
 {
 	struct member_state_data *p = ms->priv;
 	unsigned int n = 0, tries, start, i;
 	const struct member *m;
 	sp_load *out;
 
-	tries = MIN(p->order->len, 4 * MEMBER_LOADS);
+	tries = MIN(p->probe_order->len, 4 * MEMBER_LOADS_PER_MESSAGE);
 	if (tries == 0)
 		return 0;
-	start =
-	    (unsigned int)g_rand_int_range(p->rand, 0, (gint32)p->order->len);
-	for (i = 0; i < tries && n < MEMBER_LOADS; i++) {
-		m = members_find(ms, g_array_index(p->order, name_id,
-					 (start + i) % p->order->len));
+	start = (unsigned int)g_rand_int_range(
+	    p->rand, 0, (gint32)p->probe_order->len);
+	for (i = 0; i < tries && n < MEMBER_LOADS_PER_MESSAGE; i++) {
+		m = members_find(ms, g_array_index(p->probe_order, name_id,
+					 (start + i) % p->probe_order->len));
 		if (m == NULL || !member_is_live(m) || m->id == receiver)
 			continue;
 		if (m->load_at == MSEC_NEVER ||
-		    now - m->load_at > MEMBER_LOAD_LIFE)
+		    now - m->load_at > MEMBER_LOAD_MAX_AGE)
 			continue;
 		out = &p->out_loads[n++];
 		out->node = m->id;
@@ -306,7 +311,7 @@
 }
 
 void
-member_loads_merge(
+member_merge_loads(
     struct members *ms, msec now, struct member *from, const sp_probe *probe)
 {
 	const sp_load *l;
@@ -316,18 +321,18 @@
 	ms->priv->newest_version =
 	    MAX(ms->priv->newest_version, probe->newest_version);
 	if (from != NULL) {
-		loads_note(from, now, probe->self.document_version,
+		member_record_load(from, now, probe->self.document_version,
 		    probe->self.load_permille);
 		/* The sender's own flag is used, as the update may be lost. */
 		if (probe->self.leaving && !from->leaving)
-			member_set(ms, now, from, from->state, true);
+			member_set_state(ms, now, from, from->state, true);
 	}
 	for (i = 0; i < probe->loads.loads_len; i++) {
 		l = &probe->loads.loads_val[i];
-		if (l->age_ms > MEMBER_LOAD_LIFE)
+		if (l->age_ms > MEMBER_LOAD_MAX_AGE)
 			continue;
 		if ((m = members_find(ms, l->node)) != NULL)
-			loads_note(m, now - l->age_ms, l->document_version,
-			    l->load_permille);
+			member_record_load(m, now - l->age_ms,
+			    l->document_version, l->load_permille);
 	}
 }
--- a/member-private.h
+++ b/member-private.h
@@ -8,26 +8,26 @@
 #include "member.h"
 
 /* Members that are requested to probe a target which did not answer. */
-#define MEMBER_RELAYS 3
+#define MEMBER_INDIRECT_PROBES 3
 /* Indirect probes made for other members that can be pending at once. */
-#define MEMBER_RELAYS_OPEN 32
+#define MEMBER_INDIRECT_PENDING_MAX 32
 /* Bytes of updates in one message, as encoded. */
-#define MEMBER_NEWS_BYTES 800
+#define MEMBER_UPDATES_BYTES 800
 /* Loads of other members in one message. */
-#define MEMBER_LOADS 3
+#define MEMBER_LOADS_PER_MESSAGE 3
 /* Loads older than this are not sent on. */
-#define MEMBER_LOAD_LIFE (2 * MSEC_SECOND)
+#define MEMBER_LOAD_MAX_AGE (2 * MSEC_SECOND)
 /* Probe periods between probes of a dead listed member, and between syncs. */
 #define MEMBER_RECONNECT_PERIODS 5
 #define MEMBER_SYNC_PERIODS 30
 /* Unlisted dead members are kept for this long, so that stale updates about
  * them are recognised. */
-#define MEMBER_FORGET (60 * MSEC_SECOND)
-#define MEMBER_SWEEP (5 * MSEC_SECOND)
+#define MEMBER_DEAD_RETENTION (60 * MSEC_SECOND)
+#define MEMBER_SWEEP_INTERVAL (5 * MSEC_SECOND)
 /* Bounds memory; further members are ignored. */
 #define MEMBERS_MAX 2048
 /* Unknown senders requested to identify themselves, per probe period. */
-#define MEMBER_ASKS 8
+#define MEMBER_UPDATE_REQUESTS_MAX 8
 
 TAILQ_HEAD(member_queue, member);
 
@@ -41,31 +41,32 @@
 };
 
 /* An indirect probe made for another member. */
-struct member_relay {
+struct indirect_probe {
 	uint32_t seq; /* of the probe to the target; 0: unused */
-	uint32_t asker_seq;
+	uint32_t requester_seq;
 	uint32_t address;
 	uint16_t port;
 	name_id target;
 };
 
 struct member_state_data {
-	msec probe_every;
+	msec probe_interval;
 	msec probe_timeout;
-	msec suspect_for;
+	msec suspect_timeout;
 	msec list_lag;
 	GRand *rand;
-	struct member_queue news;     /* updates to send; the newest first */
+	struct member_queue
+	    update_queue;	      /* updates to send; the newest first */
 	struct member_queue suspects; /* by state_since, the oldest first */
 	unsigned int members;	      /* in the tree, any state */
 	unsigned int live;	      /* of these, not dead */
 	unsigned int listed_dead;
 	/* Probing. */
 	struct member_probe probe;
-	struct member_relay relays[MEMBER_RELAYS_OPEN];
-	unsigned int next_relay;
+	struct indirect_probe indirect_probes[MEMBER_INDIRECT_PENDING_MAX];
+	unsigned int next_indirect_probe;
 	uint32_t seq;
-	GArray *order; /* name_id, live members, shuffled */
+	GArray *probe_order; /* name_id, live members, shuffled */
 	unsigned int next_in_order;
 	unsigned int period; /* counts up */
 	msec next_probe;
@@ -74,14 +75,16 @@
 	/* Sync. */
 	name_id sync_peer; /* whose page is expected; 0: none */
 	uint64_t sync_after;
-	bool joining;	 /* until the first full sync is complete */
-	bool untold;	 /* a member was added that may need an announcement */
-	msec tell_again; /* repeat of the leave announcement, or MSEC_NEVER */
-	unsigned int asks_left;
+	bool joining;		/* until the first full sync is complete */
+	bool has_unannounced;	/* a member was added that may need an
+				   announcement */
+	msec next_announcement; /* repeat of the leave announcement, or
+				   MSEC_NEVER */
+	unsigned int update_requests_left;
 	/* Greatest document version received from any member. */
 	uint64_t newest_version;
 	/* Buffers of the message being built. */
-	sp_news out_news[SAVORY_NEWS_MAX];
+	sp_news out_updates[SAVORY_NEWS_MAX];
 	sp_load out_loads[SAVORY_LOADS_MAX];
 };
 
@@ -90,20 +93,20 @@
 void member_remove(struct members *, struct member *);
 bool member_is_live(const struct member *);
 /* Sets state and leaving flag, calls ops->changed() and queues the update. */
-void
-member_set(struct members *, msec, struct member *, enum member_state, bool);
+void member_set_state(
+    struct members *, msec, struct member *, enum member_state, bool);
 
 /* member-news.c */
-void member_news_queue(struct members *, struct member *);
-void member_news_drop(struct members *, struct member *);
-/* Fills out_news: the given member first, if any, then the queued updates;
+void member_queue_update(struct members *, struct member *);
+void member_unqueue_update(struct members *, struct member *);
+/* Fills out_updates: the given member first, if any, then the queued updates;
  * returns their number. */
-unsigned int member_news_fill(struct members *, const struct member *);
-void member_news_merge(struct members *, msec, const sp_news *);
-void member_news_of(const struct member *, sp_news *);
-unsigned int member_loads_fill(struct members *, msec, name_id);
+unsigned int member_fill_updates(struct members *, const struct member *);
+void member_merge_update(struct members *, msec, const sp_news *);
+void member_make_update(const struct member *, sp_news *);
+unsigned int member_fill_loads(struct members *, msec, name_id);
 void
-member_loads_merge(struct members *, msec, struct member *, const sp_probe *);
+member_merge_loads(struct members *, msec, struct member *, const sp_probe *);
 
 /* member-probe.c */
 void member_probe_start(struct members *, msec);
@@ -112,8 +115,8 @@
 void member_probe_send(struct members *, msec, struct member *, uint32_t);
 /* Announce the local node's state, alive or leaving: to one member; to all
  * members, or with again == false to those without an announcement yet. */
-void member_tell(struct members *, struct member *);
-void member_tell_all(struct members *, bool again);
+void member_announce_to(struct members *, struct member *);
+void member_announce_all(struct members *, bool again);
 void member_probe_receive(struct members *, msec, struct member *, name_id,
     uint32_t, uint16_t, const sp_msg *);
 struct member *member_random_live(struct members *, name_id);
@@ -121,11 +124,11 @@
 
 /* member-sync.c */
 void member_sync_start(struct members *, msec);
-void member_sync_ask(struct members *, name_id, uint32_t, uint16_t);
+void member_request_update(struct members *, name_id, uint32_t, uint16_t);
 void member_sync_receive(
     struct members *, msec, name_id, uint32_t, uint16_t, const sp_msg *);
 
 /* member-list.c */
-void member_list_sweep(struct members *, msec);
+void member_remove_expired(struct members *, msec);
 
 #endif /* MEMBER_PRIVATE_H */
--- a/member-probe.c
+++ b/member-probe.c
@@ -17,16 +17,16 @@
 
 static void order_shuffle(struct members *);
 static struct member *probe_next_target(struct members *);
-static struct member *probe_dead_listed(struct members *);
-static void probe_reconnect(struct members *, msec);
-static void probe_ask_others(struct members *, msec);
+static struct member *random_dead_listed(struct members *);
+static void probe_dead_member(struct members *, msec);
+static void probe_request_indirect(struct members *, msec);
 static void
 probe_fill(struct members *, msec, sp_probe *, const struct member *, name_id);
 static void probe_ack(struct members *, msec, const struct member *, name_id,
     uint32_t, uint16_t, uint32_t, name_id);
-static void probe_for_other(
+static void probe_handle_request(
     struct members *, msec, uint32_t, uint16_t, const sp_probe_request *);
-static void probe_take_ack(struct members *, msec, name_id, const sp_probe *);
+static void probe_handle_ack(struct members *, msec, name_id, const sp_probe *);
 
 /* Starts a new round over the live members, in random order. */
 static void
@@ -37,14 +37,14 @@
 	name_id *a, id;
 	guint i, j;
 
-	g_array_set_size(p->order, 0);
+	g_array_set_size(p->probe_order, 0);
 	p->next_in_order = 0;
 	RB_FOREACH (m, member_tree, &ms->tree) {
 		if (member_is_live(m))
-			g_array_append_val(p->order, m->id);
+			g_array_append_val(p->probe_order, m->id);
 	}
-	a = (name_id *)(void *)p->order->data;
-	for (i = p->order->len; i > 1; i--) {
+	a = (name_id *)(void *)p->probe_order->data;
+	for (i = p->probe_order->len; i > 1; i--) {
 		j = (guint)g_rand_int_range(p->rand, 0, (gint32)i);
 		id = a[i - 1];
 		a[i - 1] = a[j];
@@ -59,13 +59,13 @@
 	struct member_state_data *p = ms->priv;
 	guint i;
 
-	for (i = 0; i < p->order->len; i++) {
-		if (g_array_index(p->order, name_id, i) == id)
+	for (i = 0; i < p->probe_order->len; i++) {
+		if (g_array_index(p->probe_order, name_id, i) == id)
 			return;
 	}
 	i = (guint)g_rand_int_range(
-	    p->rand, (gint32)p->next_in_order, (gint32)p->order->len + 1);
-	g_array_insert_val(p->order, i, id);
+	    p->rand, (gint32)p->next_in_order, (gint32)p->probe_order->len + 1);
+	g_array_insert_val(p->probe_order, i, id);
 }
 
 static struct member *
@@ -77,13 +77,13 @@
 	name_id id;
 
 	while (rounds < 2) {
-		if (p->next_in_order >= p->order->len) {
+		if (p->next_in_order >= p->probe_order->len) {
 			order_shuffle(ms);
 			rounds++;
-			if (p->order->len == 0)
+			if (p->probe_order->len == 0)
 				return NULL;
 		}
-		id = g_array_index(p->order, name_id, p->next_in_order++);
+		id = g_array_index(p->probe_order, name_id, p->next_in_order++);
 		m = members_find(ms, id);
 		if (m != NULL && member_is_live(m))
 			return m;
@@ -99,10 +99,11 @@
 	struct member *m;
 	unsigned int i, at;
 
-	for (i = 0; i < RANDOM_TRIES && p->order->len > 0; i++) {
+	for (i = 0; i < RANDOM_TRIES && p->probe_order->len > 0; i++) {
 		at = (unsigned int)g_rand_int_range(
-		    p->rand, 0, (gint32)p->order->len);
-		m = members_find(ms, g_array_index(p->order, name_id, at));
+		    p->rand, 0, (gint32)p->probe_order->len);
+		m = members_find(
+		    ms, g_array_index(p->probe_order, name_id, at));
 		if (m == NULL || m->id == except)
 			continue;
 		if (m->state == MEMBER_ALIVE || m->state == MEMBER_LEAVING)
@@ -127,9 +128,9 @@
 	probe->self.leaving = ms->self.leaving;
 	probe->newest_version = p->newest_version;
 	probe->loads.loads_val = p->out_loads;
-	probe->loads.loads_len = member_loads_fill(ms, now, to_id);
-	probe->news.news_val = p->out_news;
-	probe->news.news_len = member_news_fill(ms, about);
+	probe->loads.loads_len = member_fill_loads(ms, now, to_id);
+	probe->news.news_val = p->out_updates;
+	probe->news.news_len = member_fill_updates(ms, about);
 }
 
 void
@@ -150,13 +151,13 @@
  * of 300. The message is an unsolicited ack, as receivers do not answer acks.
  */
 void
-member_tell(struct members *ms, struct member *m)
+member_announce_to(struct members *ms, struct member *m)
 {
 	sp_news self;
 	sp_msg msg;
 
 	memset(&msg, 0, sizeof msg);
-	member_news_of(&ms->self, &self);
+	member_make_update(&ms->self, &self);
 	msg.kind = SP_PROBE_ACK;
 	msg.sp_msg_u.probe_ack.self.document_version =
 	    ms->self.document_version;
@@ -165,7 +166,7 @@
 	msg.sp_msg_u.probe_ack.newest_version = ms->priv->newest_version;
 	msg.sp_msg_u.probe_ack.news.news_val = &self;
 	msg.sp_msg_u.probe_ack.news.news_len = 1;
-	m->told = true;
+	m->announced = true;
 	ms->ops->send(ms, m->address, m->peer_port, &msg);
 }
 
@@ -177,22 +178,22 @@
  * that are lost are repaired by the probes.
  */
 void
-member_tell_all(struct members *ms, bool again)
+member_announce_all(struct members *ms, bool again)
 {
 	struct member *m;
 
-	ms->priv->untold = false;
+	ms->priv->has_unannounced = false;
 	RB_FOREACH (m, member_tree, &ms->tree) {
-		if (m->told && !again)
+		if (m->announced && !again)
 			continue;
 		if (member_is_live(m) || m->listed)
-			member_tell(ms, m);
+			member_announce_to(ms, m);
 	}
 }
 
 /* A dead listed member, chosen uniformly at random, or NULL. */
 static struct member *
-probe_dead_listed(struct members *ms)
+random_dead_listed(struct members *ms)
 {
 	struct member *m, *found = NULL;
 	gint32 n = 0;
@@ -207,7 +208,7 @@
 }
 
 static void
-probe_reconnect(struct members *ms, msec now)
+probe_dead_member(struct members *ms, msec now)
 {
 	struct member_state_data *p = ms->priv;
 	struct member *m;
@@ -216,7 +217,7 @@
 		return;
 	if (p->live > 0 && p->period % MEMBER_RECONNECT_PERIODS != 0)
 		return;
-	if ((m = probe_dead_listed(ms)) == NULL)
+	if ((m = random_dead_listed(ms)) == NULL)
 		return;
 	ms->counters.reconnects++;
 	member_probe_send(ms, now, m, ++p->seq);
@@ -228,7 +229,7 @@
 	struct member_state_data *p = ms->priv;
 	struct member *m;
 
-	probe_reconnect(ms, now);
+	probe_dead_member(ms, now);
 	memset(&p->probe, 0, sizeof p->probe);
 	if ((m = probe_next_target(ms)) == NULL)
 		return;
@@ -239,15 +240,17 @@
 }
 
 static void
-probe_ask_others(struct members *ms, msec now)
+probe_request_indirect(struct members *ms, msec now)
 {
 	struct member_state_data *p = ms->priv;
-	name_id asked[MEMBER_RELAYS] = { 0 };
+	name_id asked[MEMBER_INDIRECT_PROBES] = { 0 };
 	unsigned int i, j, n = 0;
 	struct member *m;
 	sp_msg msg;
 
-	for (i = 0; i < 2 * MEMBER_RELAYS && n < MEMBER_RELAYS; i++) {
+	for (i = 0;
+	     i < 2 * MEMBER_INDIRECT_PROBES && n < MEMBER_INDIRECT_PROBES;
+	     i++) {
 		if ((m = member_random_live(ms, p->probe.target)) == NULL)
 			return;
 		for (j = 0; j < n && asked[j] != m->id; j++)
@@ -284,7 +287,7 @@
 	if (!probe->relayed && now >= probe->sent + p->probe_timeout) {
 		probe->relayed = true;
 		member_probe_send(ms, now, m, probe->seq);
-		probe_ask_others(ms, now);
+		probe_request_indirect(ms, now);
 	}
 	if (now < p->next_probe)
 		return;
@@ -293,7 +296,7 @@
 	if (m->state == MEMBER_SUSPECT)
 		return;
 	ms->counters.suspected++;
-	member_set(ms, now, m, MEMBER_SUSPECT, m->leaving);
+	member_set_state(ms, now, m, MEMBER_SUSPECT, m->leaving);
 	/* Informs the suspect at once, to leave it time to refute. */
 	member_probe_send(ms, now, m, ++p->seq);
 }
@@ -324,18 +327,19 @@
 }
 
 static void
-probe_for_other(struct members *ms, msec now, uint32_t address, uint16_t port,
-    const sp_probe_request *req)
+probe_handle_request(struct members *ms, msec now, uint32_t address,
+    uint16_t port, const sp_probe_request *req)
 {
 	struct member_state_data *p = ms->priv;
 	struct member *m = members_find(ms, req->target);
-	struct member_relay *r;
+	struct indirect_probe *r;
 
 	if (m == NULL)
 		return;
-	r = &p->relays[p->next_relay++ % MEMBER_RELAYS_OPEN];
+	r = &p->indirect_probes[p->next_indirect_probe++ %
+				MEMBER_INDIRECT_PENDING_MAX];
 	r->seq = ++p->seq;
-	r->asker_seq = req->seq;
+	r->requester_seq = req->seq;
 	r->address = address;
 	r->port = port;
 	r->target = m->id;
@@ -344,10 +348,11 @@
 }
 
 static void
-probe_take_ack(struct members *ms, msec now, name_id from, const sp_probe *ack)
+probe_handle_ack(
+    struct members *ms, msec now, name_id from, const sp_probe *ack)
 {
 	struct member_state_data *p = ms->priv;
-	struct member_relay *r;
+	struct indirect_probe *r;
 	unsigned int i;
 
 	if (p->probe.target != 0 && ack->seq == p->probe.seq &&
@@ -355,21 +360,21 @@
 		p->probe.acked = true;
 		return;
 	}
-	for (i = 0; i < MEMBER_RELAYS_OPEN; i++) {
-		r = &p->relays[i];
+	for (i = 0; i < MEMBER_INDIRECT_PENDING_MAX; i++) {
+		r = &p->indirect_probes[i];
 		if (r->seq == 0 || r->seq != ack->seq || r->target != from)
 			continue;
 		r->seq = 0;
-		probe_ack(
-		    ms, now, NULL, 0, r->address, r->port, r->asker_seq, from);
+		probe_ack(ms, now, NULL, 0, r->address, r->port,
+		    r->requester_seq, from);
 		return;
 	}
 }
 
-/* Whether the message is from member_tell(): acks of probes have a sequence
- * number other than 0. */
+/* Whether the message is from member_announce_to(): acks of probes have a
+ * sequence number other than 0. */
 static bool
-probe_is_word(const sp_msg *msg)
+probe_is_announcement(const sp_msg *msg)
 {
 	return msg->kind == SP_PROBE_ACK && msg->sp_msg_u.probe_ack.seq == 0;
 }
@@ -383,7 +388,7 @@
 	u_int i;
 
 	if (msg->kind == SP_PROBE_REQUEST) {
-		probe_for_other(
+		probe_handle_request(
 		    ms, now, address, port, &msg->sp_msg_u.probe_request);
 		return;
 	}
@@ -393,11 +398,12 @@
 	 * is announced before it serves, and in a large fleet its next load
 	 * report arrives up to 45 s later.
 	 */
-	member_loads_merge(ms, now, probe_is_word(msg) ? NULL : m, probe);
+	member_merge_loads(
+	    ms, now, probe_is_announcement(msg) ? NULL : m, probe);
 	for (i = 0; i < probe->news.news_len; i++)
-		member_news_merge(ms, now, &probe->news.news_val[i]);
+		member_merge_update(ms, now, &probe->news.news_val[i]);
 	if (msg->kind == SP_PROBE_ACK)
-		probe_take_ack(ms, now, from, probe);
+		probe_handle_ack(ms, now, from, probe);
 	else
 		probe_ack(ms, now, members_find(ms, from), from, address, port,
 		    probe->seq, 0);
--- a/member-sync.c
+++ b/member-sync.c
@@ -11,15 +11,16 @@
 #include <string.h>
 
 static void
-sync_send(struct members *, uint32_t, uint16_t, uint64_t, unsigned int);
-static void sync_answer(struct members *, uint32_t, uint16_t, const sp_sync *);
-static void sync_take_page(
+sync_send_request(struct members *, uint32_t, uint16_t, uint64_t, unsigned int);
+static void
+sync_send_page(struct members *, uint32_t, uint16_t, const sp_sync *);
+static void sync_handle_page(
     struct members *, msec, name_id, uint32_t, uint16_t, const sp_sync_page *);
-static struct member *sync_next(struct members *, uint64_t);
+static struct member *sync_next_member(struct members *, uint64_t);
 
 static void
-sync_send(struct members *ms, uint32_t address, uint16_t port, uint64_t after,
-    unsigned int limit)
+sync_send_request(struct members *ms, uint32_t address, uint16_t port,
+    uint64_t after, unsigned int limit)
 {
 	sp_msg msg;
 
@@ -51,26 +52,28 @@
 	if (m == NULL)
 		return;
 	p->sync_peer = m->id;
-	sync_send(ms, m->address, m->peer_port, p->sync_after, SAVORY_NEWS_MAX);
+	sync_send_request(
+	    ms, m->address, m->peer_port, p->sync_after, SAVORY_NEWS_MAX);
 }
 
 /*
  * Requests the update about the sender itself from an unknown sender, or from
- * an unknown incarnation of a member. At most MEMBER_ASKS per probe period.
+ * an unknown incarnation of a member. At most MEMBER_UPDATE_REQUESTS_MAX per
+ * probe period.
  */
 void
-member_sync_ask(
+member_request_update(
     struct members *ms, name_id from, uint32_t address, uint16_t port)
 {
-	if (ms->priv->asks_left == 0)
+	if (ms->priv->update_requests_left == 0)
 		return;
-	ms->priv->asks_left--;
-	sync_send(ms, address, port, from - 1, 1);
+	ms->priv->update_requests_left--;
+	sync_send_request(ms, address, port, from - 1, 1);
 }
 
 /* The member, or the local node, with the least id above `after`. */
 static struct member *
-sync_next(struct members *ms, uint64_t after)
+sync_next_member(struct members *ms, uint64_t after)
 {
 	struct member find, *m;
 
@@ -84,7 +87,7 @@
 }
 
 static void
-sync_answer(
+sync_send_page(
     struct members *ms, uint32_t address, uint16_t port, const sp_sync *sync)
 {
 	struct member_state_data *p = ms->priv;
@@ -94,13 +97,13 @@
 	uint64_t at = sync->after;
 	sp_msg msg;
 
-	while ((m = sync_next(ms, at)) != NULL && n < limit) {
+	while ((m = sync_next_member(ms, at)) != NULL && n < limit) {
 		if (m->incarnation != 0) {
 			bytes += sizeof(sp_news) + strlen(m->name) +
 				 strlen(m->domain);
-			if (bytes > MEMBER_NEWS_BYTES + sizeof(sp_news))
+			if (bytes > MEMBER_UPDATES_BYTES + sizeof(sp_news))
 				break;
-			member_news_of(m, &p->out_news[n++]);
+			member_make_update(m, &p->out_updates[n++]);
 		}
 		at = m->id;
 	}
@@ -108,21 +111,21 @@
 	msg.kind = SP_SYNC_PAGE;
 	msg.sp_msg_u.sync_page.after = sync->after;
 	msg.sp_msg_u.sync_page.last = m == NULL ? 0 : at;
-	msg.sp_msg_u.sync_page.news.news_val = p->out_news;
+	msg.sp_msg_u.sync_page.news.news_val = p->out_updates;
 	msg.sp_msg_u.sync_page.news.news_len = n;
 	ms->ops->send(ms, address, port, &msg);
 }
 
 static void
-sync_take_page(struct members *ms, msec now, name_id from, uint32_t address,
+sync_handle_page(struct members *ms, msec now, name_id from, uint32_t address,
     uint16_t port, const sp_sync_page *page)
 {
 	struct member_state_data *p = ms->priv;
 	u_int i;
 
 	for (i = 0; i < page->news.news_len; i++)
-		member_news_merge(ms, now, &page->news.news_val[i]);
-	/* The page may also be an answer to member_sync_ask(). */
+		member_merge_update(ms, now, &page->news.news_val[i]);
+	/* The page may also be an answer to member_request_update(). */
 	if (p->sync_peer != from || p->sync_after != page->after)
 		return;
 	p->sync_peer = 0;
@@ -134,7 +137,7 @@
 	if (!p->joining)
 		return;
 	p->sync_peer = from;
-	sync_send(ms, address, port, page->last, SAVORY_NEWS_MAX);
+	sync_send_request(ms, address, port, page->last, SAVORY_NEWS_MAX);
 }
 
 void
@@ -142,8 +145,8 @@
     uint32_t address, uint16_t port, const sp_msg *msg)
 {
 	if (msg->kind == SP_SYNC)
-		sync_answer(ms, address, port, &msg->sp_msg_u.sync);
+		sync_send_page(ms, address, port, &msg->sp_msg_u.sync);
 	else
-		sync_take_page(
+		sync_handle_page(
 		    ms, now, from, address, port, &msg->sp_msg_u.sync_page);
 }
--- a/member.c
+++ b/member.c
@@ -10,20 +10,20 @@
 #include <inttypes.h>
 #include <string.h>
 
-#define MEMBER_PROBE_EVERY ((msec)300)
+#define MEMBER_PROBE_INTERVAL ((msec)300)
 #define MEMBER_PROBE_TIMEOUT ((msec)150)
 /*
  * A leaving node announces it twice. With 300 nodes and 1% datagram loss, some
  * nodes miss the first announcement, and received the state by probes only
  * after up to 3.7 s.
  */
-#define MEMBER_TELL_AGAIN ((msec)200)
-#define MEMBER_SUSPECT_FOR ((msec)1200)
+#define MEMBER_REPEAT_ANNOUNCEMENT ((msec)200)
+#define MEMBER_SUSPECT_TIMEOUT ((msec)1200)
 #define MEMBER_LIST_LAG (30 * MSEC_SECOND)
 
 static void members_check_pause(struct members *, msec);
 static void members_expire_suspects(struct members *, msec);
-static msec msec_or(msec, msec);
+static msec msec_or_default(msec, msec);
 
 RB_GENERATE(member_tree, member, entry, member_compare)
 
@@ -36,7 +36,7 @@
 }
 
 static msec
-msec_or(msec value, msec otherwise)
+msec_or_default(msec value, msec otherwise)
 {
 	return value != 0 ? value : otherwise;
 }
@@ -68,21 +68,24 @@
 	ms->ops = ops;
 	RB_INIT(&ms->tree);
 	p = ms->priv = g_new0(struct member_state_data, 1);
-	p->probe_every = msec_or(cfg->probe_every, MEMBER_PROBE_EVERY);
-	p->probe_timeout = msec_or(cfg->probe_timeout, MEMBER_PROBE_TIMEOUT);
-	p->suspect_for = msec_or(cfg->suspect_for, MEMBER_SUSPECT_FOR);
-	p->list_lag = msec_or(cfg->list_lag, MEMBER_LIST_LAG);
+	p->probe_interval =
+	    msec_or_default(cfg->probe_interval, MEMBER_PROBE_INTERVAL);
+	p->probe_timeout =
+	    msec_or_default(cfg->probe_timeout, MEMBER_PROBE_TIMEOUT);
+	p->suspect_timeout =
+	    msec_or_default(cfg->suspect_timeout, MEMBER_SUSPECT_TIMEOUT);
+	p->list_lag = msec_or_default(cfg->list_lag, MEMBER_LIST_LAG);
 	p->rand = g_rand_new_with_seed(cfg->seed);
-	p->order = g_array_new(FALSE, FALSE, sizeof(name_id));
-	TAILQ_INIT(&p->news);
+	p->probe_order = g_array_new(FALSE, FALSE, sizeof(name_id));
+	TAILQ_INIT(&p->update_queue);
 	TAILQ_INIT(&p->suspects);
 	p->joining = true;
-	p->tell_again = MSEC_NEVER;
-	p->asks_left = MEMBER_ASKS;
+	p->next_announcement = MSEC_NEVER;
+	p->update_requests_left = MEMBER_UPDATE_REQUESTS_MAX;
 	/* Random offset: nodes that start together do not probe in sync. */
 	p->next_probe =
-	    now + g_rand_int_range(p->rand, 0, (gint32)p->probe_every);
-	p->next_sweep = now + MEMBER_SWEEP;
+	    now + g_rand_int_range(p->rand, 0, (gint32)p->probe_interval);
+	p->next_sweep = now + MEMBER_SWEEP_INTERVAL;
 	p->next_tick = p->next_probe;
 
 	self->id = name_hash(cfg->name);
@@ -97,7 +100,7 @@
 	self->caller_port = cfg->caller_port;
 	self->control_port = cfg->control_port;
 	self->load_at = now;
-	member_news_queue(ms, self);
+	member_queue_update(ms, self);
 }
 
 void
@@ -108,7 +111,7 @@
 
 	while ((m = RB_MIN(member_tree, &ms->tree)) != NULL)
 		member_remove(ms, m);
-	g_array_unref(p->order);
+	g_array_unref(p->probe_order);
 	g_rand_free(p->rand);
 	g_free(p);
 	ms->priv = NULL;
@@ -147,7 +150,7 @@
 	m->state_since = now;
 	m->load_at = MSEC_NEVER;
 	RB_INSERT(member_tree, &ms->tree, m);
-	ms->priv->untold = true;
+	ms->priv->has_unannounced = true;
 	ms->priv->members++;
 	return m;
 }
@@ -157,7 +160,7 @@
 {
 	struct member_state_data *p = ms->priv;
 
-	member_news_drop(ms, m);
+	member_unqueue_update(ms, m);
 	if (m->state == MEMBER_SUSPECT)
 		TAILQ_REMOVE(&p->suspects, m, suspect_entry);
 	if (member_is_live(m))
@@ -168,7 +171,7 @@
 }
 
 void
-member_set(struct members *ms, msec now, struct member *m,
+member_set_state(struct members *ms, msec now, struct member *m,
     enum member_state state, bool leaving)
 {
 	struct member_state_data *p = ms->priv;
@@ -192,7 +195,7 @@
 		if (!was_live)
 			member_order_insert(ms, m->id);
 	}
-	member_news_queue(ms, m);
+	member_queue_update(ms, m);
 	ms->ops->changed(ms, m);
 }
 
@@ -208,7 +211,7 @@
 	struct member_state_data *p = ms->priv;
 	struct member *m;
 
-	if (now - p->next_tick < p->probe_every)
+	if (now - p->next_tick < p->probe_interval)
 		return;
 	log_debug("tick %" PRId64 " ms late, suspicion timeouts restarted",
 	    now - p->next_tick);
@@ -225,10 +228,10 @@
 	struct member *m;
 
 	while ((m = TAILQ_FIRST(&p->suspects)) != NULL) {
-		if (now < m->state_since + p->suspect_for)
+		if (now < m->state_since + p->suspect_timeout)
 			return;
 		ms->counters.died++;
-		member_set(ms, now, m, MEMBER_DEAD, m->leaving);
+		member_set_state(ms, now, m, MEMBER_DEAD, m->leaving);
 	}
 }
 
@@ -239,31 +242,31 @@
 	struct member *m;
 	msec due;
 
-	if (p->untold)
-		member_tell_all(ms, false);
-	if (now >= p->tell_again) {
-		p->tell_again = MSEC_NEVER;
-		member_tell_all(ms, true);
+	if (p->has_unannounced)
+		member_announce_all(ms, false);
+	if (now >= p->next_announcement) {
+		p->next_announcement = MSEC_NEVER;
+		member_announce_all(ms, true);
 	}
 	members_check_pause(ms, now);
 	members_expire_suspects(ms, now);
 	member_probe_check(ms, now);
 	if (now >= p->next_probe) {
-		p->asks_left = MEMBER_ASKS;
-		p->next_probe = now + p->probe_every;
+		p->update_requests_left = MEMBER_UPDATE_REQUESTS_MAX;
+		p->next_probe = now + p->probe_interval;
 		member_probe_start(ms, now);
 		if (p->joining || p->period % MEMBER_SYNC_PERIODS == 0)
 			member_sync_start(ms, now);
 		p->period++;
 	}
 	if (now >= p->next_sweep) {
-		p->next_sweep = now + MEMBER_SWEEP;
-		member_list_sweep(ms, now);
+		p->next_sweep = now + MEMBER_SWEEP_INTERVAL;
+		member_remove_expired(ms, now);
 	}
 	due = MIN(member_probe_due(ms), p->next_sweep);
-	due = MIN(due, p->tell_again);
+	due = MIN(due, p->next_announcement);
 	if ((m = TAILQ_FIRST(&p->suspects)) != NULL)
-		due = MIN(due, m->state_since + p->suspect_for);
+		due = MIN(due, m->state_since + p->suspect_timeout);
 	p->next_tick = due;
 	return due;
 }
@@ -277,15 +280,15 @@
  * 23 s to know each other.
  */
 static void
-members_meet(struct members *ms, name_id from, uint64_t incarnation,
-    uint32_t address, uint16_t port, const sp_msg *msg)
+members_handle_unknown_sender(struct members *ms, name_id from,
+    uint64_t incarnation, uint32_t address, uint16_t port, const sp_msg *msg)
 {
 	struct member *m = members_find(ms, from);
 
 	if (m == NULL || m->incarnation < incarnation)
-		member_sync_ask(ms, from, address, port);
+		member_request_update(ms, from, address, port);
 	else if (msg->kind == SP_PROBE_ACK && !m->leaving)
-		member_tell(ms, m);
+		member_announce_to(ms, m);
 }
 
 void
@@ -311,7 +314,8 @@
 	else
 		member_probe_receive(ms, now, m, from, address, port, msg);
 	if (m == NULL)
-		members_meet(ms, from, incarnation, address, port, msg);
+		members_handle_unknown_sender(
+		    ms, from, incarnation, address, port, msg);
 }
 
 void
@@ -319,7 +323,7 @@
 {
 	ms->self.document_version = version;
 	ms->self.load_permille = load;
-	ms->self.offered = 0;
+	ms->self.answers_since_load = 0;
 	ms->priv->newest_version = MAX(ms->priv->newest_version, version);
 }
 
@@ -335,9 +339,9 @@
 	if (ms->self.leaving)
 		return;
 	log_info("%s is leaving", ms->self.name);
-	member_set(ms, now, &ms->self, MEMBER_ALIVE, true);
-	member_tell_all(ms, true);
-	ms->priv->tell_again = now + MEMBER_TELL_AGAIN;
+	member_set_state(ms, now, &ms->self, MEMBER_ALIVE, true);
+	member_announce_all(ms, true);
+	ms->priv->next_announcement = now + MEMBER_REPEAT_ANNOUNCEMENT;
 }
 
 char *
--- a/member.h
+++ b/member.h
@@ -42,16 +42,19 @@
 	unsigned int load_permille;
 	msec load_at; /* time of the load report; MSEC_NEVER: none */
 	msec state_since;
-	unsigned int offered; /* callers directed to it since load_at */
+	unsigned int
+	    answers_since_load; /* callers directed to it since load_at */
 	/* The rest is private to member*.c. */
-	TAILQ_ENTRY(member) news_entry;
+	TAILQ_ENTRY(member) update_entry;
 	TAILQ_ENTRY(member) suspect_entry;
 	msec incarnation_since;
-	uint64_t listed_live; /* incarnation when last listed as not leaving */
+	uint64_t listed_live_incarnation; /* incarnation when last listed as not
+					     leaving */
 	uint32_t refutation;
-	unsigned int news_left; /* remaining transmissions of its update */
-	bool seen;		/* on the VM list being applied */
-	bool told;		/* the local node was announced to it */
+	unsigned int
+	    transmissions_left; /* remaining transmissions of its update */
+	bool on_new_list;	/* on the VM list being applied */
+	bool announced;		/* the local node was announced to it */
 };
 RB_HEAD(member_tree, member);
 int member_compare(struct member *, struct member *);
@@ -96,9 +99,9 @@
 	uint16_t peer_port;
 	uint16_t caller_port;
 	uint16_t control_port;
-	msec probe_every;
+	msec probe_interval;
 	msec probe_timeout;
-	msec suspect_for;
+	msec suspect_timeout;
 	msec list_lag; /* maximum lag of the VM list */
 	uint32_t seed;
 };
--- a/metrics.c
+++ b/metrics.c
@@ -19,7 +19,7 @@
 static const char *const append_names[METRICS_APPENDS] = { "documents",
 	"ledger", "leases" };
 
-static const struct metric_info infos[METRIC_COUNT] = {
+static const struct metric_info metric_infos[METRIC_COUNT] = {
 	[METRIC_REQUESTS] = { "requests_total", "counter",
 	    "Requests by the outcome told to the caller." },
 	[METRIC_ENDINGS] = { "endings_total", "counter",
@@ -187,7 +187,7 @@
 /* Counts a value as within or beyond its target; returns true if there is no
  * target or it is met. */
 static bool
-metrics_judge(
+metrics_count_target(
     struct metrics_class *c, enum metrics_target which, msec value, msec target)
 {
 	if (target == 0)
@@ -202,7 +202,7 @@
 
 /* Counts a complete answer: its times, its tokens and the targets it met. */
 static void
-metrics_whole(struct metrics_class *c, const struct doc_class *dc,
+metrics_count_complete(struct metrics_class *c, const struct doc_class *dc,
     const struct metrics_sample *s)
 {
 	msec first = (s->first != 0 ? s->first : s->ended) - s->arrived;
@@ -216,10 +216,12 @@
 		metrics_observe(&c->between_tokens, between);
 	}
 	c->tokens += s->tokens;
-	good = metrics_judge(c, METRICS_FIRST_TOKEN, first, dc->first_token);
-	good &= metrics_judge(
+	good = metrics_count_target(
+	    c, METRICS_FIRST_TOKEN, first, dc->first_token);
+	good &= metrics_count_target(
 	    c, METRICS_BETWEEN_TOKENS, between, dc->between_tokens);
-	good &= metrics_judge(c, METRICS_WHOLE_ANSWER, whole, dc->whole_answer);
+	good &= metrics_count_target(
+	    c, METRICS_WHOLE_ANSWER, whole, dc->whole_answer);
 	if (!good)
 		return;
 	c->attained++;
@@ -227,7 +229,7 @@
 }
 
 void
-metrics_request(struct metrics *m, const char *service,
+metrics_count_request(struct metrics *m, const char *service,
     const struct doc_class *dc, const struct metrics_sample *s)
 {
 	struct metrics_class *c = metrics_class_get(m, service, dc->name);
@@ -236,7 +238,7 @@
 	c->codes[s->code]++;
 	c->repeated_runs += s->repeats;
 	if (s->outcome == REQUEST_RAN)
-		metrics_whole(c, dc, s);
+		metrics_count_complete(c, dc, s);
 	else
 		c->wasted_tokens += s->tokens;
 }
@@ -246,13 +248,13 @@
 const struct metric_info *
 metric_info(enum metric which)
 {
-	return &infos[which];
+	return &metric_infos[which];
 }
 
 static void
-text_head(GString *s, enum metric which)
+text_add_header(GString *s, enum metric which)
 {
-	const struct metric_info *i = &infos[which];
+	const struct metric_info *i = &metric_infos[which];
 
 	g_string_append_printf(s, "# HELP savory_%s %s\n# TYPE savory_%s %s\n",
 	    i->name, i->help, i->name, i->type);
@@ -260,19 +262,19 @@
 
 /* One sample of a class; the extra labels each begin with a comma. */
 static void
-text_class(GString *s, enum metric which, const struct metrics_class *c,
-    const char *more, uint64_t value)
+text_add_sample(GString *s, enum metric which, const struct metrics_class *c,
+    const char *labels, uint64_t value)
 {
 	g_string_append_printf(s,
 	    "savory_%s{service=\"%s\",class=\"%s\"%s} %" PRIu64 "\n",
-	    infos[which].name, c->service, c->name, more, value);
+	    metric_infos[which].name, c->service, c->name, labels, value);
 }
 
 static void
-text_histogram(GString *s, enum metric which, const struct metrics_class *c,
+text_add_histogram(GString *s, enum metric which, const struct metrics_class *c,
     const struct metrics_histogram *h)
 {
-	const char *name = infos[which].name;
+	const char *name = metric_infos[which].name;
 	uint64_t sum = 0;
 	unsigned int i;
 
@@ -293,88 +295,88 @@
 }
 
 static void
-text_outcomes(GString *s, const struct metrics_class *c)
+text_add_outcomes(GString *s, const struct metrics_class *c)
 {
-	char more[64];
+	char labels[64];
 	unsigned int i;
 
 	for (i = 0; i <= REQUEST_UNKNOWN; i++) {
-		g_snprintf(more, sizeof more, ",outcome=\"%s\"",
+		g_snprintf(labels, sizeof labels, ",outcome=\"%s\"",
 		    request_outcome_name(i));
-		text_class(s, METRIC_REQUESTS, c, more, c->outcomes[i]);
+		text_add_sample(s, METRIC_REQUESTS, c, labels, c->outcomes[i]);
 	}
 }
 
 static void
-text_codes(GString *s, const struct metrics_class *c)
+text_add_codes(GString *s, const struct metrics_class *c)
 {
-	char more[64];
+	char labels[64];
 	unsigned int i;
 
 	for (i = 0; i <= REQUEST_CODE_CALLER_GONE; i++) {
 		if (c->codes[i] == 0)
 			continue;
-		g_snprintf(
-		    more, sizeof more, ",code=\"%s\"", request_code_name(i));
-		text_class(s, METRIC_ENDINGS, c, more, c->codes[i]);
+		g_snprintf(labels, sizeof labels, ",code=\"%s\"",
+		    request_code_name(i));
+		text_add_sample(s, METRIC_ENDINGS, c, labels, c->codes[i]);
 	}
 }
 
 static void
-text_targets(GString *s, const struct metrics_class *c)
+text_add_targets(GString *s, const struct metrics_class *c)
 {
-	char more[64];
+	char labels[64];
 	unsigned int i;
 
 	for (i = 0; i < METRICS_TARGETS; i++) {
 		if (c->met[i] + c->missed[i] == 0)
 			continue;
-		g_snprintf(more, sizeof more, ",target=\"%s\",result=\"met\"",
-		    target_names[i]);
-		text_class(s, METRIC_TARGET, c, more, c->met[i]);
-		g_snprintf(more, sizeof more,
+		g_snprintf(labels, sizeof labels,
+		    ",target=\"%s\",result=\"met\"", target_names[i]);
+		text_add_sample(s, METRIC_TARGET, c, labels, c->met[i]);
+		g_snprintf(labels, sizeof labels,
 		    ",target=\"%s\",result=\"missed\"", target_names[i]);
-		text_class(s, METRIC_TARGET, c, more, c->missed[i]);
+		text_add_sample(s, METRIC_TARGET, c, labels, c->missed[i]);
 	}
 }
 
 /* Appends all samples of one metric of a class. */
 static void
-text_one(GString *s, enum metric which, const struct metrics_class *c)
+text_add_metric(GString *s, enum metric which, const struct metrics_class *c)
 {
 	switch (which) {
 	case METRIC_REQUESTS:
-		text_outcomes(s, c);
+		text_add_outcomes(s, c);
 		break;
 	case METRIC_ENDINGS:
-		text_codes(s, c);
+		text_add_codes(s, c);
 		break;
 	case METRIC_TARGET:
-		text_targets(s, c);
+		text_add_targets(s, c);
 		break;
 	case METRIC_ATTAINED:
-		text_class(s, which, c, "", c->attained);
+		text_add_sample(s, which, c, "", c->attained);
 		break;
 	case METRIC_FIRST_TOKEN:
-		text_histogram(s, which, c, &c->first_token);
+		text_add_histogram(s, which, c, &c->first_token);
 		break;
 	case METRIC_BETWEEN_TOKENS:
-		text_histogram(s, which, c, &c->between_tokens);
+		text_add_histogram(s, which, c, &c->between_tokens);
 		break;
 	case METRIC_WHOLE:
-		text_histogram(s, which, c, &c->whole);
+		text_add_histogram(s, which, c, &c->whole);
 		break;
 	case METRIC_TOKENS:
-		text_class(s, which, c, "", c->tokens);
+		text_add_sample(s, which, c, "", c->tokens);
 		break;
 	case METRIC_GOOD_TOKENS:
-		text_class(s, which, c, "", c->good_tokens);
+		text_add_sample(s, which, c, "", c->good_tokens);
 		break;
 	case METRIC_CLASS_WASTED_TOKENS:
-		text_class(s, which, c, "", c->wasted_tokens);
+		text_add_sample(s, which, c, "", c->wasted_tokens);
 		break;
 	case METRIC_CLASS_REPEATED_RUNS:
-		text_class(s, which, c, "", c->repeated_runs);
+		text_add_sample(s, which, c, "", c->repeated_runs);
 		break;
 	default:
 		break;
@@ -389,29 +391,30 @@
 	unsigned int i;
 
 	for (which = METRIC_REQUESTS; which < METRIC_APPENDS; which++) {
-		text_head(s, which);
+		text_add_header(s, which);
 		RB_FOREACH (c, metrics_tree, &m->classes)
-			text_one(s, which, c);
+			text_add_metric(s, which, c);
 	}
-	text_head(s, METRIC_APPENDS);
+	text_add_header(s, METRIC_APPENDS);
 	for (i = 0; i < METRICS_APPENDS; i++)
 		g_string_append_printf(s,
 		    "savory_%s{cause=\"%s\"} %" PRIu64 "\n",
-		    infos[METRIC_APPENDS].name, append_names[i], m->appends[i]);
+		    metric_infos[METRIC_APPENDS].name, append_names[i],
+		    m->appends[i]);
 }
 
 void
 metrics_text_count(GString *s, enum metric which, uint64_t value)
 {
-	text_head(s, which);
+	text_add_header(s, which);
 	g_string_append_printf(
-	    s, "savory_%s %" PRIu64 "\n", infos[which].name, value);
+	    s, "savory_%s %" PRIu64 "\n", metric_infos[which].name, value);
 }
 
 void
 metrics_text_seconds(GString *s, enum metric which, double seconds)
 {
-	text_head(s, which);
+	text_add_header(s, which);
 	g_string_append_printf(
-	    s, "savory_%s %.6f\n", infos[which].name, seconds);
+	    s, "savory_%s %.6f\n", metric_infos[which].name, seconds);
 }
--- a/metrics.h
+++ b/metrics.h
@@ -154,7 +154,7 @@
 void metrics_init(struct metrics *);
 void metrics_finish(struct metrics *);
 /* Counts a request that has ended. */
-void metrics_request(struct metrics *, const char *service,
+void metrics_count_request(struct metrics *, const char *service,
     const struct doc_class *, const struct metrics_sample *);
 const struct metric_info *metric_info(enum metric);
 /* Append the metrics of all classes, and of log appends, to a string. */
--- a/tests/test-metrics.c
+++ b/tests/test-metrics.c
@@ -53,9 +53,9 @@
 	struct metrics m;
 
 	metrics_init(&m);
-	metrics_request(&m, "s", &question, &good);
-	metrics_request(&m, "s", &question, &late);
-	metrics_request(&m, "s", &question, &slow);
+	metrics_count_request(&m, "s", &question, &good);
+	metrics_count_request(&m, "s", &question, &late);
+	metrics_count_request(&m, "s", &question, &slow);
 	c = metrics_class_get(&m, "s", "question");
 	g_assert_cmpuint(c->met[METRICS_FIRST_TOKEN], ==, 2);
 	g_assert_cmpuint(c->missed[METRICS_FIRST_TOKEN], ==, 1);
@@ -83,7 +83,7 @@
 	s.outcome = REQUEST_UNKNOWN;
 	s.code = REQUEST_CODE_BROKEN;
 	s.repeats = 2;
-	metrics_request(&m, "s", &question, &s);
+	metrics_count_request(&m, "s", &question, &s);
 	c = metrics_class_get(&m, "s", "question");
 	g_assert_cmpuint(c->wasted_tokens, ==, 11);
 	g_assert_cmpuint(c->repeated_runs, ==, 2);
@@ -106,7 +106,7 @@
 	struct metrics m;
 
 	metrics_init(&m);
-	metrics_request(&m, "s", &alert, &s);
+	metrics_count_request(&m, "s", &alert, &s);
 	c = metrics_class_get(&m, "s", "alert");
 	g_assert_cmpuint(c->attained, ==, 1);
 	g_assert_cmpuint(c->between_tokens.count, ==, 0);
@@ -147,7 +147,7 @@
 	struct metrics m;
 
 	metrics_init(&m);
-	metrics_request(&m, "s", &question, &s);
+	metrics_count_request(&m, "s", &question, &s);
 	m.appends[METRICS_APPEND_LEDGER] = 3;
 	text = text_of(&m);
 	assert_line(text,
