--- a/daemon-admit.c
+++ b/daemon-admit.c
@@ -53,7 +53,7 @@
 }
 
 static void
-admit_elsewhere(struct daemon *d, struct call *c, msec now)
+admit_refuse_leaving(struct daemon *d, struct call *c, msec now)
 {
 	admit_alternates(d, c);
 	request_fail(
@@ -61,12 +61,12 @@
 }
 
 void
-daemon_admit_leaving(struct daemon *d, struct call *c, msec now)
+daemon_admit_refuse_late(struct daemon *d, struct call *c, msec now)
 {
 	d->stop_no_time++;
 	log_debug_of(
 	    LOG_REQUEST, c->id, "%s: no time left before the stop", c->id);
-	admit_elsewhere(d, c, now);
+	admit_refuse_leaving(d, c, now);
 }
 
 /*
@@ -75,18 +75,18 @@
  * only one that has their answer.
  */
 static void
-admit_door(struct daemon *d, struct call *c, msec now)
+admit_new_work(struct daemon *d, struct call *c, msec now)
 {
 	if (daemon_stop_is_past_grace(d, now)) {
-		admit_elsewhere(d, c, now);
+		admit_refuse_leaving(d, c, now);
 		return;
 	}
-	if (!daemon_stop_leaves_time(d, c, STOP_AHEAD_WHOLE, now)) {
-		daemon_admit_leaving(d, c, now);
+	if (!daemon_stop_has_time_for(d, c, STOP_REMAINING_WAIT_AND_RUN, now)) {
+		daemon_admit_refuse_late(d, c, now);
 		return;
 	}
 	if (daemon_limits_take(d, c, now))
-		daemon_admit_go(d, c, now);
+		daemon_admit_continue(d, c, now);
 }
 
 void
@@ -94,15 +94,15 @@
 {
 	if (c->ticket != NULL)
 		admit_ticket(d, c, now);
-	else if (c->key != NULL && join_known(d->joins, c))
+	else if (c->key != NULL && join_exists(d->joins, c))
 		admit_join(d, c, now, false);
 	else
-		admit_door(d, c, now);
+		admit_new_work(d, c, now);
 }
 
 /* The call has passed the checks for new work. */
 void
-daemon_admit_go(struct daemon *d, struct call *c, msec now)
+daemon_admit_continue(struct daemon *d, struct call *c, msec now)
 {
 	if (c->ticket != NULL || c->key != NULL)
 		admit_join(d, c, now, true);
@@ -120,7 +120,7 @@
 	case TICKET_RUN:
 		c->ticket_taken = true;
 		c->request.maybe_ran = false;
-		admit_door(d, c, now);
+		admit_new_work(d, c, now);
 		break;
 	case TICKET_USED:
 		admit_join(d, c, now, false);
@@ -183,20 +183,20 @@
 static void
 admit_join(struct daemon *d, struct call *c, msec now, bool fresh)
 {
-	switch (join_enter(d->joins, c, fresh)) {
+	switch (join_lookup_or_add(d->joins, c, fresh)) {
 	case JOIN_FIRST:
 		if (c->key != NULL && !c->repeatable)
 			daemon_ledger_claim(d, c, now);
 		else
 			request_go(&c->request, now);
 		break;
-	case JOIN_WAITS:
+	case JOIN_WAITING:
 		break;
 	case JOIN_ANSWERED:
 		daemon_call_joined(d, c, now);
 		break;
-	case JOIN_LOST:
-		daemon_call_join_lost(d, c, now);
+	case JOIN_ANSWER_UNKNOWN:
+		daemon_call_join_unknown(d, c, now);
 		break;
 	case JOIN_OTHER_BODY:
 		admit_refuse(c, now, REQUEST_CODE_OTHER_BODY);
--- a/daemon-answer.c
+++ b/daemon-answer.c
@@ -34,7 +34,7 @@
 {
 	if (n == 0)
 		return;
-	if (a->at == a->len && !a->keep)
+	if (a->at == a->len && !a->keep_bytes)
 		a->at = a->len = 0;
 	if (a->len + n > a->size) {
 		a->size = MAX(a->size * 2, a->len + n);
@@ -43,7 +43,7 @@
 	memcpy(a->bytes + a->len, p, n);
 	a->len += n;
 	if (a->len > ANSWER_KEEP_MAX)
-		a->keep = false;
+		a->keep_bytes = false;
 }
 
 /* Resumes the caller's connection. The answer's lock is held. */
@@ -57,11 +57,11 @@
 }
 
 void
-answer_allow(struct answer *a, unsigned int attempt)
+answer_set_attempt(struct answer *a, unsigned int attempt)
 {
 	pthread_mutex_lock(&a->lock);
 	a->attempt = attempt;
-	if (!a->head) {
+	if (!a->head_ready) {
 		a->at = 0;
 		a->len = 0;
 	}
@@ -74,20 +74,22 @@
  * abandoned attempt would otherwise mix with those of its successor.
  */
 static bool
-answer_takes(const struct answer *a, unsigned int attempt)
+answer_accepts(const struct answer *a, unsigned int attempt)
 {
-	return attempt == a->attempt && !a->ended && (!a->gone || a->keep);
+	return attempt == a->attempt && !a->ended &&
+	       (!a->caller_left || a->keep_bytes);
 }
 
 enum answer_put
-answer_room(struct answer *a, unsigned int attempt)
+answer_check_room(struct answer *a, unsigned int attempt)
 {
-	enum answer_put put = ANSWER_TAKEN;
+	enum answer_put put = ANSWER_ACCEPTED;
 
 	pthread_mutex_lock(&a->lock);
-	if (!answer_takes(a, attempt))
+	if (!answer_accepts(a, attempt))
 		put = ANSWER_DROP;
-	else if (a->len - a->at >= ANSWER_HIGH && a->head && !a->gone) {
+	else if (a->len - a->at >= ANSWER_PAUSE_BYTES && a->head_ready &&
+		 !a->caller_left) {
 		a->paused = true;
 		put = ANSWER_PAUSE;
 	}
@@ -99,16 +101,16 @@
 answer_put(struct answer *a, unsigned int attempt, const char *p, size_t n,
     bool head_now)
 {
-	enum answer_put put = ANSWER_TAKEN;
+	enum answer_put put = ANSWER_ACCEPTED;
 
 	pthread_mutex_lock(&a->lock);
-	if (!answer_takes(a, attempt))
+	if (!answer_accepts(a, attempt))
 		put = ANSWER_DROP;
 	else {
 		answer_append(a, p, n);
-		if (head_now || a->len - a->at >= ANSWER_HIGH)
-			a->head = true;
-		if (a->head)
+		if (head_now || a->len - a->at >= ANSWER_PAUSE_BYTES)
+			a->head_ready = true;
+		if (a->head_ready)
 			answer_wake(a);
 	}
 	pthread_mutex_unlock(&a->lock);
@@ -116,12 +118,12 @@
 }
 
 size_t
-answer_held(struct answer *a)
+answer_buffered(struct answer *a)
 {
 	size_t held;
 
 	pthread_mutex_lock(&a->lock);
-	held = a->keep ? a->len : a->len - a->at;
+	held = a->keep_bytes ? a->len : a->len - a->at;
 	pthread_mutex_unlock(&a->lock);
 	return held;
 }
@@ -135,8 +137,8 @@
 	bool live;
 
 	pthread_mutex_lock(&a->lock);
-	live = answer_takes(a, attempt);
-	if (live && !a->head) {
+	live = answer_accepts(a, attempt);
+	if (live && !a->head_ready) {
 		a->status = status;
 		g_strlcpy(
 		    a->content_type, content_type, sizeof a->content_type);
@@ -175,7 +177,7 @@
 	bool is;
 
 	pthread_mutex_lock(&a->lock);
-	is = a->head && !answer_is_events(a);
+	is = a->head_ready && !answer_is_events(a);
 	pthread_mutex_unlock(&a->lock);
 	return is;
 }
@@ -186,7 +188,7 @@
 	bool is;
 
 	pthread_mutex_lock(&a->lock);
-	is = a->gone;
+	is = a->caller_left;
 	pthread_mutex_unlock(&a->lock);
 	return is;
 }
@@ -238,7 +240,7 @@
 	/* With code OK the answer, whatever its outcome, is from another
 	 * node. */
 	if (r->outcome != REQUEST_RAN && r->code != REQUEST_CODE_OK) {
-		if (!a->head)
+		if (!a->head_ready)
 			answer_error_body(a, r);
 		else {
 			event = g_strdup_printf(
@@ -252,7 +254,7 @@
 		}
 	}
 	a->ended = true;
-	a->head = true;
+	a->head_ready = true;
 	answer_wake(a);
 	pthread_mutex_unlock(&a->lock);
 }
@@ -263,7 +265,7 @@
 	bool ok;
 
 	pthread_mutex_lock(&from->lock);
-	ok = from->ended && from->keep;
+	ok = from->ended && from->keep_bytes;
 	pthread_mutex_unlock(&from->lock);
 	if (!ok)
 		return false;
@@ -280,7 +282,7 @@
 	g_strlcpy(to->alternates, from->alternates, sizeof to->alternates);
 	to->broken = from->broken;
 	to->ended = true;
-	to->head = true;
+	to->head_ready = true;
 	answer_wake(to);
 	pthread_mutex_unlock(&to->lock);
 	return true;
@@ -297,7 +299,7 @@
 	answer_append(a, text, strlen(text));
 	a->outcome = REQUEST_RAN;
 	a->ended = true;
-	a->head = true;
+	a->head_ready = true;
 	answer_wake(a);
 	pthread_mutex_unlock(&a->lock);
 }
@@ -308,7 +310,7 @@
 	bool ready;
 
 	pthread_mutex_lock(&a->lock);
-	ready = a->head;
+	ready = a->head_ready;
 	if (!ready && !a->suspended) {
 		a->suspended = true;
 		MHD_suspend_connection(a->connection);
@@ -342,7 +344,7 @@
 		a->suspended = true;
 		MHD_suspend_connection(a->connection);
 	}
-	if (a->paused && a->len - a->at < ANSWER_LOW) {
+	if (a->paused && a->len - a->at < ANSWER_RESUME_BYTES) {
 		a->paused = false;
 		thread = g_atomic_pointer_get(&c->thread);
 		attempt = a->attempt;
--- a/daemon-call.c
+++ b/daemon-call.c
@@ -104,10 +104,10 @@
  * deadline. A stream that is resumed is exempt: it can only go on or break.
  */
 static bool
-call_has_time(const struct call *c, enum stop_ahead ahead, msec now)
+call_has_time(const struct call *c, enum stop_remaining ahead, msec now)
 {
 	return c->request.tokens != 0 ||
-	       daemon_stop_leaves_time(c->daemon, c, ahead, now);
+	       daemon_stop_has_time_for(c->daemon, c, ahead, now);
 }
 
 static void
@@ -115,8 +115,8 @@
 {
 	struct call *c = call_of_request(r);
 
-	if (!call_has_time(c, STOP_AHEAD_WHOLE, now)) {
-		daemon_admit_leaving(c->daemon, c, now);
+	if (!call_has_time(c, STOP_REMAINING_WAIT_AND_RUN, now)) {
+		daemon_admit_refuse_late(c->daemon, c, now);
 		return;
 	}
 	if (c->forward_to != 0) {
@@ -167,7 +167,7 @@
  * stream to resume it would send the first tokens a second time.
  */
 static bool
-call_can_run_on(const struct call *c, const struct backend *b)
+call_can_resume_on(const struct call *c, const struct backend *b)
 {
 	if (c->plain || c->request.tokens == 0)
 		return true;
@@ -186,7 +186,7 @@
 		call_forward(c, now);
 		return;
 	}
-	if (b == NULL || !call_can_run_on(c, b) ||
+	if (b == NULL || !call_can_resume_on(c, b) ||
 	    !daemon_ledger_may_run(c, now)) {
 		/* b is NULL if the server left the VM list after the grant. */
 		request_ended(r, now, r->attempt, ATTEMPT_UNSENT, r->tokens);
@@ -213,7 +213,7 @@
 	struct dispatch_result res = { .first_token = -1 };
 
 	res.how = how == ATTEMPT_WHOLE ? DISPATCH_OK : DISPATCH_ENGINE_FAILED;
-	if (c->answer.gone)
+	if (c->answer.caller_left)
 		res.how = DISPATCH_CALLER_LEFT;
 	if (c->first != 0) {
 		res.first_token = c->first - c->dispatched;
@@ -234,9 +234,9 @@
 	log_debug_of(LOG_REQUEST, c->id, "%s ends: %s, %s", c->id,
 	    request_outcome_name(r->outcome), request_code_name(r->code));
 	daemon_metrics_ended(c->daemon, c, now);
-	daemon_stop_learn(c->daemon, c, now);
+	daemon_stop_record_duration(c->daemon, c, now);
 	answer_end(&c->answer, r);
-	join_ended(c->daemon->joins, c, now);
+	join_complete(c->daemon->joins, c, now);
 	daemon_ledger_ended(c->daemon, c, now);
 	daemon_admit_ended(c->daemon, c);
 	call_close(c);
@@ -285,7 +285,7 @@
 }
 
 void
-daemon_call_join_lost(struct daemon *d, struct call *c, msec now)
+daemon_call_join_unknown(struct daemon *d, struct call *c, msec now)
 {
 	request_fail_unknown(&c->request, now, REQUEST_CODE_CLAIM_UNKNOWN);
 }
@@ -342,16 +342,16 @@
  * node could run them in the meantime.
  */
 void
-daemon_call_leaving(struct daemon *d, msec now)
+daemon_call_refuse_late(struct daemon *d, msec now)
 {
 	struct call *c, *next;
 
 	TAILQ_FOREACH_SAFE (c, &d->calls, entry, next) {
 		if (c->request.state != REQUEST_QUEUED ||
-		    call_has_time(c, STOP_AHEAD_RUN, now))
+		    call_has_time(c, STOP_REMAINING_RUN, now))
 			continue;
 		call_withdraw(&c->request, now);
-		daemon_admit_leaving(d, c, now);
+		daemon_admit_refuse_late(d, c, now);
 	}
 }
 
@@ -380,9 +380,9 @@
 	struct call *c = slot->arg;
 	msec now = msec_now();
 
-	if (!call_has_time(c, STOP_AHEAD_RUN, now)) {
+	if (!call_has_time(c, STOP_REMAINING_RUN, now)) {
 		call_withdraw(&c->request, now);
-		daemon_admit_leaving(c->daemon, c, now);
+		daemon_admit_refuse_late(c->daemon, c, now);
 		return;
 	}
 	request_granted(&c->request, now);
--- a/daemon-caller.c
+++ b/daemon-caller.c
@@ -192,7 +192,7 @@
 	daemon_watch_end(c);
 	pthread_mutex_lock(&c->answer.lock);
 	whole = c->answer.ended;
-	c->answer.gone = !whole;
+	c->answer.caller_left = !whole;
 	c->answer.suspended = false;
 	c->answer.connection = NULL;
 	pthread_mutex_unlock(&c->answer.lock);
--- a/daemon-docs.c
+++ b/daemon-docs.c
@@ -116,7 +116,7 @@
 
 /* Puts a folded version in force, unless it or a newer one already is. */
 static void
-docs_enforce(struct daemon *d, const struct doc_version *v, msec now)
+docs_put_in_force(struct daemon *d, const struct doc_version *v, msec now)
 {
 	struct doc_ref *held = doc_set_find(d->docs, v->service), *r;
 	struct findings findings;
@@ -150,10 +150,10 @@
 	msec now = msec_now();
 
 	RB_FOREACH (v, doc_version_tree, &d->fold.services)
-		docs_enforce(d, v, now);
-	daemon_self_push(d, now);
+		docs_put_in_force(d, v, now);
+	daemon_self_update(d, now);
 	/* The documents' traits set the initial slots of an engine. */
-	daemon_engines_push(d, now);
+	daemon_engines_update(d, now);
 }
 
 static void
@@ -295,20 +295,20 @@
 	g_autofree char *text = NULL;
 	char id[LOG_ID_SIZE];
 
-	if (d->log_down || !d->documents_read || now < d->checkpoint_at)
+	if (d->log_down || !d->documents_read || now < d->checkpoint_check_at)
 		return;
 	log_id_make(id);
 	text = docs_checkpoint_text(d, id);
-	d->checkpoint_at =
+	d->checkpoint_check_at =
 	    now + g_rand_int_range(d->rng, 1, DOCS_CHECKPOINT_WAIT_MS);
 	if (text == NULL)
 		return;
-	if (!d->checkpoint_seen) {
+	if (!d->checkpoint_was_due) {
 		/* It became due only now: give other nodes time to write it. */
-		d->checkpoint_seen = true;
+		d->checkpoint_was_due = true;
 		return;
 	}
-	d->checkpoint_seen = false;
+	d->checkpoint_was_due = false;
 	daemon_metrics_append(d, METRICS_APPEND_DOCUMENTS);
 	log_io_append(
 	    d->log, LOG_STREAM_DOCUMENTS, text, id, 10 * MSEC_SECOND, 0);
--- a/daemon-engine.c
+++ b/daemon-engine.c
@@ -118,7 +118,7 @@
 }
 
 static bool
-header_take(const char *p, size_t n, const char *name, char *out, size_t size)
+header_match(const char *p, size_t n, const char *name, char *out, size_t size)
 {
 	size_t len = strlen(name);
 
@@ -150,12 +150,13 @@
 		a->head_whole = false;
 	else if (n <= 2 && (n == 0 || p[0] == '\r' || p[0] == '\n'))
 		a->head_whole = true;
-	if (header_take(p, n, "X-Request-Id:", a->echo, sizeof a->echo))
+	if (header_match(p, n, "X-Request-Id:", a->echo, sizeof a->echo))
 		return n;
-	if (a->call->forward_to != 0 && header_take(p, n, "Savorypier-Outcome:",
-					    a->outcome, sizeof a->outcome))
+	if (a->call->forward_to != 0 &&
+	    header_match(
+		p, n, "Savorypier-Outcome:", a->outcome, sizeof a->outcome))
 		return n;
-	header_take(
+	header_match(
 	    p, n, "Content-Type:", a->content_type, sizeof a->content_type);
 	return n;
 }
@@ -186,7 +187,8 @@
 	}
 	a->is_stream = strncmp(a->content_type, "text/event-stream", 17) == 0;
 	if (attempt_is_engine(a) && a->status >= 500)
-		return true; /* not sent to the caller; see attempt_judge() */
+		return true; /* not sent to the caller; see
+				attempt_classify_end() */
 	return answer_head(&c->answer, a->number, (unsigned int)a->status,
 	    a->content_type[0] != '\0' ? a->content_type
 				       : "application/octet-stream");
@@ -228,7 +230,7 @@
 		return 0;
 	if (attempt_is_engine(a) && a->status >= 500)
 		return n;
-	put = answer_room(&a->call->answer, a->number);
+	put = answer_check_room(&a->call->answer, a->number);
 	if (put == ANSWER_PAUSE) {
 		a->paused = true;
 		return CURL_WRITEFUNC_PAUSE;
@@ -367,7 +369,7 @@
 
 /* Classifies the end of the attempt by the result of the transfer. */
 static enum attempt_end
-attempt_judge(const struct attempt *a, CURLcode rc)
+attempt_classify_end(const struct attempt *a, CURLcode rc)
 {
 	long connects = 0;
 
@@ -412,7 +414,7 @@
 
 	if (rc == CURLE_OK && a->status == 0)
 		attempt_ready(a);
-	e.end = attempt_judge(a, rc);
+	e.end = attempt_classify_end(a, rc);
 	if (a->outcome[0] != '\0')
 		e.forwarded = strcmp(a->outcome, "ran") == 0 ? REQUEST_RAN
 			      : strcmp(a->outcome, "not-run") == 0
@@ -621,7 +623,7 @@
 		.tier = c->doc->doc.classes[c->class_index].tier,
 		.resume_at = c->request.tokens };
 
-	answer_allow(&c->answer, c->request.attempt);
+	answer_set_attempt(&c->answer, c->request.attempt);
 	engine_send(t, &cmd);
 }
 
--- a/daemon-join.c
+++ b/daemon-join.c
@@ -34,7 +34,7 @@
 };
 
 static int join_compare(const struct join *, const struct join *);
-static void join_forget(struct join_table *, struct join *);
+static void join_remove(struct join_table *, struct join *);
 
 RB_PROTOTYPE(join_tree, join, entry, join_compare);
 RB_GENERATE(join_tree, join, entry, join_compare);
@@ -63,12 +63,12 @@
 	struct join *j, *next;
 
 	RB_FOREACH_SAFE (j, join_tree, &t->tree, next)
-		join_forget(t, j);
+		join_remove(t, j);
 	g_free(t);
 }
 
 static void
-join_forget(struct join_table *t, struct join *j)
+join_remove(struct join_table *t, struct join *j)
 {
 	struct call *c;
 
@@ -87,7 +87,7 @@
 }
 
 static void
-join_key(struct join *key, const struct call *c)
+join_make_key(struct join *key, const struct call *c)
 {
 	const char *text = c->ticket != NULL ? c->ticket : c->key;
 
@@ -96,8 +96,8 @@
 	key->key = XXH3_128bits_withSeed(text, strlen(text), c->ticket != NULL);
 }
 
-static enum join_verdict
-join_first(struct join_table *t, const struct join *key, struct call *c)
+static enum join_result
+join_add_first(struct join_table *t, const struct join *key, struct call *c)
 {
 	struct join *j;
 
@@ -113,14 +113,14 @@
 	return JOIN_FIRST;
 }
 
-enum join_verdict
-join_enter(struct join_table *t, struct call *c, bool fresh)
+enum join_result
+join_lookup_or_add(struct join_table *t, struct call *c, bool fresh)
 {
 	struct join key = { 0 }, *j;
 
-	join_key(&key, c);
+	join_make_key(&key, c);
 	if ((j = RB_FIND(join_tree, &t->tree, &key)) == NULL)
-		return fresh ? join_first(t, &key, c) : JOIN_LOST;
+		return fresh ? join_add_first(t, &key, c) : JOIN_ANSWER_UNKNOWN;
 	if (j->body != c->body_hash) {
 		log_debug_of(LOG_REQUEST, c->id,
 		    "%s: its key belongs to another body", c->id);
@@ -131,19 +131,19 @@
 		    LOG_REQUEST, c->id, "%s joins %s", c->id, j->first->id);
 		call_take(c);
 		TAILQ_INSERT_TAIL(&j->waiting, c, join_entry);
-		return JOIN_WAITS;
+		return JOIN_WAITING;
 	}
 	if (!answer_copy(&c->answer, &j->first->answer))
-		return JOIN_LOST;
+		return JOIN_ANSWER_UNKNOWN;
 	return JOIN_ANSWERED;
 }
 
 bool
-join_known(struct join_table *t, const struct call *c)
+join_exists(struct join_table *t, const struct call *c)
 {
 	struct join key = { 0 };
 
-	join_key(&key, c);
+	join_make_key(&key, c);
 	return RB_FIND(join_tree, &t->tree, &key) != NULL;
 }
 
@@ -153,19 +153,19 @@
  * calls with their keys are answered "unknown".
  */
 static void
-join_make_room(struct join_table *t)
+join_evict_oldest(struct join_table *t)
 {
 	struct join *j, *next;
 
 	TAILQ_FOREACH_SAFE (j, &t->ended, age, next) {
 		if (t->bytes <= JOIN_BYTES_MAX)
 			return;
-		join_forget(t, j);
+		join_remove(t, j);
 	}
 }
 
 void
-join_ended(struct join_table *t, struct call *first, msec now)
+join_complete(struct join_table *t, struct call *first, msec now)
 {
 	struct join *j = first->join;
 	struct call *c;
@@ -178,13 +178,13 @@
 		if (answer_copy(&c->answer, &first->answer))
 			daemon_call_joined(first->daemon, c, now);
 		else
-			daemon_call_join_lost(first->daemon, c, now);
+			daemon_call_join_unknown(first->daemon, c, now);
 		call_drop(c);
 	}
 	if (first->request.outcome == REQUEST_NOT_RUN ||
 	    first->request.attempts == 0) {
 		/* Nothing ran: the key may be used again. */
-		join_forget(t, j);
+		join_remove(t, j);
 		return;
 	}
 	j->ended = true;
@@ -192,7 +192,7 @@
 	j->bytes = first->answer.size;
 	t->bytes += j->bytes;
 	TAILQ_INSERT_TAIL(&t->ended, j, age);
-	join_make_room(t);
+	join_evict_oldest(t);
 }
 
 void
@@ -203,7 +203,7 @@
 	TAILQ_FOREACH_SAFE (j, &t->ended, age, next) {
 		if (now - j->ended_at <= keep)
 			return;
-		join_forget(t, j);
+		join_remove(t, j);
 	}
 }
 
--- a/daemon-join.h
+++ b/daemon-join.h
@@ -18,13 +18,13 @@
 struct daemon;
 struct join;
 
-enum join_verdict {
-	JOIN_FIRST,	 /* first with this key: run it, then join_ended() */
-	JOIN_WAITS,	 /* gets the first call's answer when that ends */
-	JOIN_ANSWERED,	 /* the first call's answer was copied to it */
-	JOIN_LOST,	 /* it ran before, but no answer is kept */
-	JOIN_OTHER_BODY, /* the key belongs to another request */
-	JOIN_FULL	 /* the table is full */
+enum join_result {
+	JOIN_FIRST,    /* first with this key: run it, then join_complete() */
+	JOIN_WAITING,  /* gets the first call's answer when that ends */
+	JOIN_ANSWERED, /* the first call's answer was copied to it */
+	JOIN_ANSWER_UNKNOWN, /* it ran before, but no answer is kept */
+	JOIN_OTHER_BODY,     /* the key belongs to another request */
+	JOIN_FULL	     /* the table is full */
 };
 
 struct join_table;
@@ -33,15 +33,17 @@
 void join_table_free(struct join_table *);
 /*
  * Look up the call by its organisation and its ticket or key. If it is not
- * found, enter it as the first when `fresh`; else it has run before: JOIN_LOST.
+ * found, enter it as the first when `fresh`; else it has run before:
+ * JOIN_ANSWER_UNKNOWN.
  */
-enum join_verdict join_enter(struct join_table *, struct call *, bool fresh);
+enum join_result
+join_lookup_or_add(struct join_table *, struct call *, bool fresh);
 /* The first call has ended: copies its answer to the waiting calls. */
-void join_ended(struct join_table *, struct call *, msec);
+void join_complete(struct join_table *, struct call *, msec);
 /* Remove entries that ended longer ago than the last argument. */
 void join_tick(struct join_table *, msec, msec);
 /* Whether this node has a run or a kept answer for the key or ticket. */
-bool join_known(struct join_table *, const struct call *);
+bool join_exists(struct join_table *, const struct call *);
 unsigned int join_count(const struct join_table *);
 
 #endif /* DAEMON_JOIN_H */
--- a/daemon-ledger.c
+++ b/daemon-ledger.c
@@ -29,11 +29,11 @@
 	unsigned int number;
 	struct ledger_home home;
 	bool active;
-	bool gap_told;
+	bool gap_checked;
 };
 
 /* Identifies a claim: key of the calls and queries that wait for a verdict. */
-struct claim_name {
+struct claim_id {
 	name_id node;
 	uint64_t incarnation;
 	uint32_t request;
@@ -41,17 +41,18 @@
 
 struct daemon_ledger {
 	struct ledger_shard shards[LOG_LEDGER_SHARDS];
-	GHashTable *waiting; /* struct claim_name to struct call */
+	GHashTable *waiting; /* struct claim_id to struct call */
 	uint32_t next_request;
 };
 
 static void
 ledger_home_answer(struct ledger_home *, const struct ledger_claim *,
     enum ledger_answer, enum ledger_verdict, const struct ledger_claim *);
-static void ledger_conclude(struct daemon *, struct call *, msec,
+static void ledger_apply_verdict(struct daemon *, struct call *, msec,
     enum ledger_answer, enum ledger_verdict, const struct ledger_claim *);
-static void ledger_abandon(struct daemon *, struct call *, msec);
-static struct call *claim_take(struct daemon *, const struct ledger_claim *);
+static void ledger_withdraw_claim(struct daemon *, struct call *, msec);
+static struct call *
+claim_remove_waiting(struct daemon *, const struct ledger_claim *);
 static void query_answer(struct call *, enum ledger_answer, enum ledger_verdict,
     const struct ledger_claim *);
 
@@ -104,7 +105,7 @@
 	ledger_home_init(&s->home, &ledger_ops, s);
 	ledger_home_set_log_down(&s->home, s->daemon->log_down);
 	s->active = true;
-	s->gap_told = false;
+	s->gap_checked = false;
 	shard_stream(s->number, stream);
 	log_io_follow(s->daemon->log, stream, 1);
 }
@@ -141,22 +142,23 @@
 /* ---- waiting claims ---- */
 
 static guint
-claim_name_hash(gconstpointer p)
+claim_id_hash(gconstpointer p)
 {
-	return (guint)XXH64(p, sizeof(struct claim_name), 0);
+	return (guint)XXH64(p, sizeof(struct claim_id), 0);
 }
 
 static gboolean
-claim_name_equal(gconstpointer a, gconstpointer b)
+claim_id_equal(gconstpointer a, gconstpointer b)
 {
-	return memcmp(a, b, sizeof(struct claim_name)) == 0;
+	return memcmp(a, b, sizeof(struct claim_id)) == 0;
 }
 
 static void
-claim_wait(struct daemon *d, const struct ledger_claim *claim, struct call *c)
+claim_add_waiting(
+    struct daemon *d, const struct ledger_claim *claim, struct call *c)
 {
-	struct claim_name *name = g_new0(struct claim_name, 1);
-	struct call *older = claim_take(d, claim);
+	struct claim_id *name = g_new0(struct claim_id, 1);
+	struct call *older = claim_remove_waiting(d, claim);
 
 	if (older != NULL) {
 		/* The entry node repeated its query: end the first one. */
@@ -173,9 +175,9 @@
 
 /* Removes the call that waits for the claim; returns it and its reference. */
 static struct call *
-claim_take(struct daemon *d, const struct ledger_claim *claim)
+claim_remove_waiting(struct daemon *d, const struct ledger_claim *claim)
 {
-	struct claim_name name;
+	struct claim_id name;
 	struct call *c;
 
 	memset(&name, 0, sizeof name);
@@ -276,7 +278,7 @@
 		return;
 	}
 	if (claim.status == 0)
-		claim_wait(d, &claim, c);
+		claim_add_waiting(d, &claim, c);
 	ledger_home_claim(&s->home, now, &claim);
 	if (claim.status != 0)
 		answer_text(&c->answer, 200, "application/json", "{}");
@@ -284,7 +286,7 @@
 
 /* The HTTP request to the home has ended, with or without an answer. */
 static void
-claim_fetched(struct daemon *d, struct fetch *f, msec now)
+claim_post_done(struct daemon *d, struct fetch *f, msec now)
 {
 	struct call *c = f->arg, *waiting;
 	struct ledger_claim first;
@@ -292,7 +294,7 @@
 	int answer = -1, verdict = -1;
 	bool has_first;
 
-	waiting = claim_take(d, &c->claim);
+	waiting = claim_remove_waiting(d, &c->claim);
 	if (waiting == NULL) {
 		call_drop(c);
 		return;
@@ -308,14 +310,14 @@
 		answer = f->sent ? LEDGER_UNDECIDED : LEDGER_NOT_APPENDED;
 		verdict = LEDGER_UNDECIDABLE;
 	}
-	ledger_conclude(d, c, now, (enum ledger_answer)answer,
+	ledger_apply_verdict(d, c, now, (enum ledger_answer)answer,
 	    (enum ledger_verdict)verdict, has_first ? &first : NULL);
 	call_drop(waiting);
 	call_drop(c);
 }
 
 static void
-post_done(struct daemon *d, struct fetch *f, msec now)
+claim_end_post_done(struct daemon *d, struct fetch *f, msec now)
 {
 	log_debug("end of a claim sent to its home, status %ld", f->status);
 }
@@ -336,7 +338,7 @@
 	f->post = g_strdup(text);
 	f->authorization = g_strdup(d->settings.peer_key);
 	f->timeout = CLAIM_WAIT_MS;
-	f->done = c != NULL ? claim_fetched : post_done;
+	f->done = c != NULL ? claim_post_done : claim_end_post_done;
 	f->arg = c != NULL ? call_take(c) : NULL;
 	free(text);
 	json_decref(o);
@@ -378,10 +380,10 @@
 	c->claim_shard = ledger_shard(c->organisation, c->key);
 	c->claimed = now;
 	request_claim(&c->request);
-	claim_wait(d, claim, c);
+	claim_add_waiting(d, claim, c);
 	if (claim_send(d, now, c->claim_shard, claim, c))
 		return;
-	call_drop(claim_take(d, claim));
+	call_drop(claim_remove_waiting(d, claim));
 	request_fail(
 	    &c->request, now, REQUEST_CODE_CLAIM_FAILED, CLAIM_RETRY_AFTER_MS);
 }
@@ -402,7 +404,7 @@
  * when the request has not run and never will.
  */
 static void
-ledger_abandon(struct daemon *d, struct call *c, msec now)
+ledger_withdraw_claim(struct daemon *d, struct call *c, msec now)
 {
 	struct ledger_claim end = c->claim;
 
@@ -418,13 +420,13 @@
 		return;
 	if (c->request.outcome != REQUEST_NOT_RUN && c->request.attempts != 0)
 		return;
-	ledger_abandon(d, c, now);
+	ledger_withdraw_claim(d, c, now);
 }
 
 /* Another node's claim came first: forwards the call to it if it still lives.
  */
 static void
-ledger_later(struct daemon *d, struct call *c, msec now,
+ledger_forward_to_first(struct daemon *d, struct call *c, msec now,
     const struct ledger_claim *first)
 {
 	struct member *m = NULL;
@@ -441,7 +443,7 @@
 }
 
 static void
-ledger_conclude(struct daemon *d, struct call *c, msec now,
+ledger_apply_verdict(struct daemon *d, struct call *c, msec now,
     enum ledger_answer answer, enum ledger_verdict verdict,
     const struct ledger_claim *first)
 {
@@ -466,7 +468,7 @@
 		request_go(&c->request, now);
 		break;
 	case LEDGER_NOT_FIRST:
-		ledger_later(d, c, now, first);
+		ledger_forward_to_first(d, c, now, first);
 		break;
 	case LEDGER_OTHER_BODY:
 		c->request.maybe_ran = false;
@@ -486,14 +488,14 @@
 {
 	struct ledger_shard *s = h->data;
 	struct daemon *d = s->daemon;
-	struct call *c = claim_take(d, claim);
+	struct call *c = claim_remove_waiting(d, claim);
 
 	if (c == NULL)
 		return;
 	if (c->kind == CALL_QUERY)
 		query_answer(c, answer, verdict, first);
 	else
-		ledger_conclude(d, c, msec_now(), answer, verdict, first);
+		ledger_apply_verdict(d, c, msec_now(), answer, verdict, first);
 	call_drop(c);
 }
 
@@ -530,12 +532,12 @@
 {
 	unsigned int i;
 
-	if (!s->gap_told && p->first > 1)
+	if (!s->gap_checked && p->first > 1)
 		ledger_fold_gap(&s->home.fold, p->first,
 		    p->nentries > 0
 			? p->entries[0].wall
 			: msec_wall() - s->daemon->settings.log_keeps);
-	s->gap_told = true;
+	s->gap_checked = true;
 	for (i = 0; i < p->nentries; i++)
 		ledger_home_apply(&s->home, p->entries[i].offset,
 		    p->entries[i].wall, p->entries[i].data, p->entries[i].len);
@@ -615,8 +617,8 @@
 	unsigned int i;
 
 	d->ledger = g_new0(struct daemon_ledger, 1);
-	d->ledger->waiting = g_hash_table_new_full(
-	    claim_name_hash, claim_name_equal, g_free, NULL);
+	d->ledger->waiting =
+	    g_hash_table_new_full(claim_id_hash, claim_id_equal, g_free, NULL);
 	for (i = 0; i < LOG_LEDGER_SHARDS; i++) {
 		d->ledger->shards[i].daemon = d;
 		d->ledger->shards[i].number = i;
--- a/daemon-limits.c
+++ b/daemon-limits.c
@@ -10,14 +10,14 @@
 #include <string.h>
 
 /* Tokens reserved for a request at most, and if it sets no maximum. */
-#define LIMITS_TOKENS_GUESS 256
+#define LIMITS_DEFAULT_TOKENS 256
 #define LIMITS_RETRY_AFTER_MS 1000
 /* Calls over a limit are held until a loan or a new unit arrives: for how long,
  * how many, and how often they are retried. A node that has just started holds
- * them until its first share can arrive (DAEMON_YOUNG_MS). */
-#define LIMITS_LOAN_MS 300
+ * them until its first share can arrive (DAEMON_SHARE_WAIT_MS). */
+#define LIMITS_HOLD_MS 300
 #define LIMITS_HELD_MAX 256
-#define LIMITS_LOOK_MS 5
+#define LIMITS_RETRY_MS 5
 
 static void limits_send(struct shares *, name_id, const sp_msg *);
 static bool limits_find(struct shares *, name_id, name_id, struct doc_limits *);
@@ -88,8 +88,8 @@
 
 	if (!c->plain)
 		tokens = c->slot.max_tokens != 0
-			     ? MIN(c->slot.max_tokens, LIMITS_TOKENS_GUESS)
-			     : LIMITS_TOKENS_GUESS;
+			     ? MIN(c->slot.max_tokens, LIMITS_DEFAULT_TOKENS)
+			     : LIMITS_DEFAULT_TOKENS;
 	if (!shares_admit(&d->shares, now, c->service, c->organisation, tokens))
 		return false;
 	c->limited = true;
@@ -104,9 +104,9 @@
  * then.
  */
 static msec
-limits_hold(const struct daemon *d, msec now)
+limits_hold_until(const struct daemon *d, msec now)
 {
-	return MAX(now + LIMITS_LOAN_MS, d->started + DAEMON_YOUNG_MS);
+	return MAX(now + LIMITS_HOLD_MS, d->started + DAEMON_SHARE_WAIT_MS);
 }
 
 static void
@@ -134,7 +134,7 @@
 		limits_refuse(c, now);
 		return false;
 	}
-	c->unlisted_kept_until = limits_hold(d, now);
+	c->unlisted_kept_until = limits_hold_until(d, now);
 	log_debug_of(LOG_REQUEST, c->id,
 	    "%s is held for its organisation's limit, %" PRId64 " ms at most",
 	    c->id, c->unlisted_kept_until - now);
@@ -153,7 +153,8 @@
 
 	TAILQ_FOREACH_SAFE (c, &d->held, held_entry, next) {
 		/* A call without time is refused now, not at the deadline. */
-		time = daemon_stop_leaves_time(d, c, STOP_AHEAD_WHOLE, now);
+		time = daemon_stop_has_time_for(
+		    d, c, STOP_REMAINING_WAIT_AND_RUN, now);
 		ok = c->open && time && limits_try(d, c, now);
 		if (c->open && time && !ok && now < c->unlisted_kept_until)
 			continue;
@@ -163,14 +164,14 @@
 		    "%s is no longer held, %" PRId64 " ms after it arrived",
 		    c->id, now - c->arrived);
 		if (ok)
-			daemon_admit_go(d, c, now);
+			daemon_admit_continue(d, c, now);
 		else if (c->open && !time)
-			daemon_admit_leaving(d, c, now);
+			daemon_admit_refuse_late(d, c, now);
 		else if (c->open)
 			limits_refuse(c, now);
 		call_drop(c);
 	}
-	return TAILQ_EMPTY(&d->held) ? MSEC_NEVER : now + LIMITS_LOOK_MS;
+	return TAILQ_EMPTY(&d->held) ? MSEC_NEVER : now + LIMITS_RETRY_MS;
 }
 
 void
--- a/daemon-load.c
+++ b/daemon-load.c
@@ -26,7 +26,7 @@
 }
 
 static void
-load_ask(struct daemon *d, const struct backend *b)
+load_poll(struct daemon *d, const struct backend *b)
 {
 	char at[ENDPOINT_SIZE];
 	struct fetch *f = g_new0(struct fetch, 1);
@@ -49,6 +49,6 @@
 	d->load_due = now + LOAD_EVERY_MS;
 	RB_FOREACH (b, backend_tree, &d->backends) {
 		if (strcmp(b->vm.kind, "engine") == 0)
-			load_ask(d, b);
+			load_poll(d, b);
 	}
 }
--- a/daemon-metrics.c
+++ b/daemon-metrics.c
@@ -37,7 +37,7 @@
 	uint64_t sum = 0;
 
 	TAILQ_FOREACH (c, &d->calls, entry)
-		sum += answer_held(&c->answer);
+		sum += answer_buffered(&c->answer);
 	return sum;
 }
 
--- a/daemon-peers.c
+++ b/daemon-peers.c
@@ -71,14 +71,14 @@
 	}
 	if (m == &ms->self && m->leaving) {
 		/* Called from the membership code: the next tick leaves. */
-		d->told_to_leave = true;
+		d->leave_requested = true;
 		return;
 	}
-	daemon_nodes_push(d, msec_now());
+	daemon_nodes_update(d, msec_now());
 }
 
 void
-daemon_nodes_push(struct daemon *d, msec now)
+daemon_nodes_update(struct daemon *d, msec now)
 {
 	struct dispatch_node *nodes;
 	struct member *m;
@@ -209,7 +209,7 @@
 
 /* Passes all backend servers to dispatch, with the documents' traits. */
 void
-daemon_engines_push(struct daemon *d, msec now)
+daemon_engines_update(struct daemon *d, msec now)
 {
 	struct dispatch_engine *list;
 	struct backend *b;
@@ -260,7 +260,7 @@
 	if (members_set_list(&d->members, now, vms, n)) {
 		d->vm_list_read = true;
 		backends_replace(d, vms, n);
-		daemon_engines_push(d, now);
+		daemon_engines_update(d, now);
 	}
 	g_free(vms);
 }
@@ -287,11 +287,12 @@
  * lacks documents, the VM list or its share of the organisations' limits.
  */
 void
-daemon_self_push(struct daemon *d, msec now)
+daemon_self_update(struct daemon *d, msec now)
 {
 	unsigned int load = d->ncalls * 1000 / d->settings.max_connections;
 
-	if (d->state == DAEMON_JOINING || now - d->started < DAEMON_YOUNG_MS)
+	if (d->state == DAEMON_JOINING ||
+	    now - d->started < DAEMON_SHARE_WAIT_MS)
 		load = 1000;
 	members_set_self(&d->members, doc_fold_sum(&d->fold), MIN(load, 1000));
 }
@@ -327,7 +328,7 @@
 		return false;
 	d->dispatch.arg = d;
 	daemon_limits_init(d, now);
-	daemon_nodes_push(d, now);
+	daemon_nodes_update(d, now);
 	return true;
 }
 
@@ -335,8 +336,8 @@
 daemon_peers_tick(struct daemon *d, msec now)
 {
 	vm_list_poll(d, now);
-	daemon_self_push(d, now);
-	if (d->told_to_leave)
+	daemon_self_update(d, now);
+	if (d->leave_requested)
 		daemon_leave(d, now);
 }
 
--- a/daemon-placement.c
+++ b/daemon-placement.c
@@ -46,7 +46,7 @@
 	struct placed_list services;
 	uint64_t next_cookie;
 	bool following;
-	bool gap_told;
+	bool gap_checked;
 };
 
 static bool placed_order(struct placement *, struct placement_engine *, msec);
@@ -86,7 +86,7 @@
 		lease_fold_init(&dp->fold);
 		return;
 	}
-	dp->gap_told = false;
+	dp->gap_checked = false;
 	log_io_follow(d->log, LOG_STREAM_LEASES, 1);
 }
 
@@ -191,7 +191,7 @@
 }
 
 static void
-state_ask(struct placed_service *s, const struct placement_engine *e)
+state_poll(struct placed_service *s, const struct placement_engine *e)
 {
 	struct backend *b = daemon_backend_find(s->daemon, e->id);
 	char at[ENDPOINT_SIZE];
@@ -275,7 +275,7 @@
 /* ---- the lease ---- */
 
 static bool
-placed_is_our_turn(struct placed_service *s, msec now, unsigned int rank)
+placed_may_claim(struct placed_service *s, msec now, unsigned int rank)
 {
 	if (s->claimable_since == MSEC_NEVER)
 		s->claimable_since = now;
@@ -313,7 +313,7 @@
 		break;
 	case LEASE_CLAIM:
 		if (rank < PLACEMENT_CANDIDATES &&
-		    placed_is_our_turn(s, now, rank))
+		    placed_may_claim(s, now, rank))
 			placed_claim(s, now, replaces);
 		break;
 	case LEASE_RENEW:
@@ -342,7 +342,7 @@
 					     ? STATE_EVERY_SETTLED_MS
 					     : STATE_EVERY_MS);
 		TAILQ_FOREACH (e, &s->placement.engines, entry)
-			state_ask(s, e);
+			state_poll(s, e);
 	}
 	placement_round(&s->placement, now);
 }
@@ -395,11 +395,11 @@
 	struct placed_service *s;
 	unsigned int i;
 
-	if (!dp->gap_told && p->first > 1)
+	if (!dp->gap_checked && p->first > 1)
 		lease_fold_gap(&dp->fold, now, p->first,
 		    p->nentries > 0 ? p->entries[0].wall
 				    : msec_wall() - d->settings.log_keeps);
-	dp->gap_told = true;
+	dp->gap_checked = true;
 	for (i = 0; i < p->nentries; i++)
 		lease_fold_apply(&dp->fold, now, p->entries[i].offset,
 		    p->entries[i].wall, p->entries[i].data, p->entries[i].len);
--- a/daemon-route.c
+++ b/daemon-route.c
@@ -28,7 +28,7 @@
 	const char *parameter; /* of the query string, for call.argument */
 };
 
-static bool route_keys(struct call *, struct MHD_Connection *);
+static bool route_read_keys(struct call *, struct MHD_Connection *);
 static bool route_health(struct call *, struct MHD_Connection *);
 static bool route_model(struct call *, struct MHD_Connection *);
 static bool route_plain(struct call *, struct MHD_Connection *);
@@ -74,7 +74,7 @@
  * documents, and a caller takes 404 and 401 as final.
  */
 static bool
-route_unknown(
+route_reject_unknown(
     struct call *c, unsigned int status, const char *code, const char *message)
 {
 	if (g_atomic_int_get((gint *)&c->daemon->state) != DAEMON_JOINING)
@@ -199,12 +199,12 @@
 	c->doc = r;
 	org = key != NULL ? document_org_by_key(&r->doc, key) : NULL;
 	if (org == NULL)
-		return route_unknown(c, 401, "invalid_key",
+		return route_reject_unknown(c, 401, "invalid_key",
 		    "The key is not one of this service's organisations.");
 	class =
 	    route_class(&r->doc, route_header(connection, "Savorypier-Class"));
 	if (class < 0)
-		return route_unknown(
+		return route_reject_unknown(
 		    c, 400, "unknown_class", "The service has no such class.");
 	c->kind = CALL_REQUEST;
 	c->class_index = (unsigned int)class;
@@ -213,12 +213,12 @@
 	c->repeatable = route_repeatable(&r->doc.classes[class], connection);
 	c->slot.deadline = route_deadline(c, connection);
 	route_id(c);
-	return route_keys(c, connection);
+	return route_read_keys(c, connection);
 }
 
 /* Reads the ticket or key, and hashes the request to detect another body. */
 static bool
-route_keys(struct call *c, struct MHD_Connection *connection)
+route_read_keys(struct call *c, struct MHD_Connection *connection)
 {
 	const char *ticket = route_header(connection, "Savorypier-Ticket");
 	const char *key = route_header(connection, "Idempotency-Key");
@@ -237,7 +237,7 @@
 	if (ticket == NULL)
 		c->key = g_strdup(key);
 	c->authorization = g_strdup(route_header(connection, "Authorization"));
-	c->answer.keep = true;
+	c->answer.keep_bytes = true;
 	return true;
 }
 
@@ -258,7 +258,7 @@
 		c->organisation = name_hash(org->name);
 	doc_set_drop(set);
 	if (org == NULL)
-		return route_unknown(c, 401, "invalid_key",
+		return route_reject_unknown(c, 401, "invalid_key",
 		    "The key is not one of an organisation's.");
 	c->kind = CALL_QUERY;
 	c->query = query_ticket;
@@ -301,7 +301,7 @@
 		doc_ref_take(r);
 	doc_set_drop(set);
 	if (r == NULL)
-		return route_unknown(
+		return route_reject_unknown(
 		    c, 404, "unknown_model", "No service has this model.");
 	if (!route_request(c, connection, r))
 		return false;
@@ -408,7 +408,7 @@
 	if (r == NULL || r->doc.kind != SERVICE_PLAIN) {
 		if (r != NULL)
 			doc_ref_drop(r);
-		return route_unknown(
+		return route_reject_unknown(
 		    c, 404, "unknown_service", "There is no such service.");
 	}
 	c->plain = true;
@@ -451,7 +451,7 @@
 }
 
 static bool
-route_take(
+route_run(
     const struct route *r, struct call *c, struct MHD_Connection *connection)
 {
 	const char *v;
@@ -491,7 +491,7 @@
 		known = true;
 		if (routes[i].method == NULL ||
 		    strcmp(routes[i].method, c->method) == 0)
-			return route_take(&routes[i], c, connection);
+			return route_run(&routes[i], c, connection);
 	}
 	if (known)
 		return route_error(c, 405, "wrong_method",
--- a/daemon-stop.c
+++ b/daemon-stop.c
@@ -11,9 +11,9 @@
 
 /* Time for kept connections without a request to close after the grace period.
  */
-#define STOP_LINGER_MS 1000
+#define STOP_IDLE_CONNECTION_MS 1000
 /* From the end of accepting connections, or the cut, to the end. */
-#define STOP_LAST_MS 100
+#define STOP_FLUSH_MS 100
 /* The node ends after this time without a call; the wait is at most the second.
  */
 #define STOP_QUIET_MS 500
@@ -30,7 +30,7 @@
 	members_leave(&d->members, now);
 	dispatch_leave(&d->dispatch, now);
 	daemon_placement_leave(d, now);
-	daemon_nodes_push(d, now);
+	daemon_nodes_update(d, now);
 }
 
 bool
@@ -55,7 +55,7 @@
  * longer.
  */
 void
-daemon_stop_learn(struct daemon *d, const struct call *c, msec now)
+daemon_stop_record_duration(struct daemon *d, const struct call *c, msec now)
 {
 	if (c->request.outcome != REQUEST_RAN || c->request.attempts == 0 ||
 	    c->forward_to != 0)
@@ -73,8 +73,8 @@
  * deadline every answer is finished.
  */
 bool
-daemon_stop_leaves_time(
-    struct daemon *d, const struct call *c, enum stop_ahead ahead, msec now)
+daemon_stop_has_time_for(
+    struct daemon *d, const struct call *c, enum stop_remaining ahead, msec now)
 {
 	struct metrics_class *mc;
 	msec left, most;
@@ -89,7 +89,8 @@
 	if (c->slot.deadline != MSEC_NEVER)
 		most = c->slot.deadline - now;
 	mc = stop_class(d, c);
-	return duration_most(ahead == STOP_AHEAD_RUN ? &mc->runs : &mc->lasts,
+	return duration_most(
+		   ahead == STOP_REMAINING_RUN ? &mc->runs : &mc->lasts,
 		   most) <= left;
 }
 
@@ -110,8 +111,8 @@
 /*
  * An answer whose outcome is known may still have unsent bytes for a slow
  * caller: `unsent` falls only when libmicrohttpd has sent the whole answer.
- * Kept connections without a request get STOP_LINGER_MS to send one; its answer
- * closes the connection.
+ * Kept connections without a request get STOP_IDLE_CONNECTION_MS to send one;
+ * its answer closes the connection.
  */
 static bool
 stop_is_done(struct daemon *d, msec since)
@@ -120,7 +121,7 @@
 		return false;
 	if (!stop_is_quiet(d, since))
 		return false;
-	if (since >= d->settings.leave_grace + STOP_LINGER_MS)
+	if (since >= d->settings.leave_grace + STOP_IDLE_CONNECTION_MS)
 		return true;
 	return daemon_http_connections(d) == 0;
 }
@@ -129,10 +130,10 @@
 static void
 stop_end(struct daemon *d, msec now)
 {
-	if (d->quiesced == 0) {
+	if (d->quiesced_at == 0) {
 		daemon_http_quiesce(d);
-		d->quiesced = now;
-	} else if (now - d->quiesced >= STOP_LAST_MS) {
+		d->quiesced_at = now;
+	} else if (now - d->quiesced_at >= STOP_FLUSH_MS) {
 		log_info("nothing in flight, ending; %" PRIu64
 			 " requests were refused for lack of time",
 		    d->stop_no_time);
@@ -161,20 +162,20 @@
 		request_cut(&c->request, now);
 	}
 	daemon_http_quiesce(d);
-	d->cut = now;
+	d->cut_at = now;
 }
 
 /*
- * The process ends STOP_LAST_MS after the cut: if it ended at once, the last
+ * The process ends STOP_FLUSH_MS after the cut: if it ended at once, the last
  * event of a stream or a whole answer would be lost, and the caller could not
  * tell the stop from a crashed VM.
  */
 static void
 stop_deadline_tick(struct daemon *d, msec now)
 {
-	if (d->cut == 0)
+	if (d->cut_at == 0)
 		stop_cut(d, now);
-	else if (now - d->cut >= STOP_LAST_MS)
+	else if (now - d->cut_at >= STOP_FLUSH_MS)
 		d->stopping = true;
 }
 
@@ -185,8 +186,8 @@
 
 	if (d->state != DAEMON_LEAVING || d->stopping)
 		return;
-	daemon_call_leaving(d, now);
-	if (d->cut == 0 && since >= d->settings.leave_grace &&
+	daemon_call_refuse_late(d, now);
+	if (d->cut_at == 0 && since >= d->settings.leave_grace &&
 	    stop_is_done(d, since))
 		stop_end(d, now);
 	else if (d->settings.stop_deadline != 0 &&
--- a/daemon-watch.c
+++ b/daemon-watch.c
@@ -17,7 +17,7 @@
 /* Disconnected callers handled per call; the next call handles the rest. */
 #define WATCH_BATCH 64
 
-static int watch_take(struct daemon *, struct call **);
+static int watch_collect_left(struct daemon *, struct call **);
 
 bool
 daemon_watch_open(struct daemon *d)
@@ -80,7 +80,7 @@
 /* Stores references to calls whose callers disconnected; returns their number.
  */
 static int
-watch_take(struct daemon *d, struct call **left)
+watch_collect_left(struct daemon *d, struct call **left)
 {
 	struct epoll_event ev[WATCH_BATCH];
 	int i, n;
@@ -97,11 +97,11 @@
 daemon_watch_ready(struct daemon *d, msec now)
 {
 	struct call *left[WATCH_BATCH];
-	int i, n = watch_take(d, left);
+	int i, n = watch_collect_left(d, left);
 
 	for (i = 0; i < n; i++) {
 		pthread_mutex_lock(&left[i]->answer.lock);
-		left[i]->answer.gone = !left[i]->answer.ended;
+		left[i]->answer.caller_left = !left[i]->answer.ended;
 		pthread_mutex_unlock(&left[i]->answer.lock);
 		daemon_call_gone(d, left[i], now);
 		call_drop(left[i]);
--- a/daemon.h
+++ b/daemon.h
@@ -41,7 +41,7 @@
 #define DAEMON_RING_SIZE 65536
 #define DAEMON_ID_SIZE 96
 /* Time after its start in which a node may have no share of a limit yet. */
-#define DAEMON_YOUNG_MS 6000
+#define DAEMON_SHARE_WAIT_MS 6000
 #define ENDPOINT_SIZE 24
 
 struct daemon;
@@ -76,13 +76,13 @@
 /* ---- the answer that a backend server sends to the caller ---- */
 
 /* The engine's stream pauses at HIGH unsent bytes and resumes below LOW. */
-#define ANSWER_HIGH (256 * 1024)
-#define ANSWER_LOW (64 * 1024)
+#define ANSWER_PAUSE_BYTES (256 * 1024)
+#define ANSWER_RESUME_BYTES (64 * 1024)
 /* Longest answer kept for a later call with the same ticket or key. */
 #define ANSWER_KEEP_MAX (256 * 1024)
 
 enum answer_put {
-	ANSWER_TAKEN,
+	ANSWER_ACCEPTED,
 	ANSWER_PAUSE, /* full: the reader resumes the stream later */
 	ANSWER_DROP   /* the core has abandoned this attempt */
 };
@@ -96,13 +96,13 @@
 	char content_type[128];
 	char *bytes;
 	size_t at, len, size;
-	bool head;	/* the head may be sent */
-	bool ended;	/* no more bytes follow */
-	bool broken;	/* the caller sees that it is incomplete */
-	bool suspended; /* the caller's connection is suspended */
-	bool paused;	/* the engine's stream is paused */
-	bool gone;	/* the caller has disconnected */
-	bool keep;	/* keep all bytes for later calls with the key */
+	bool head_ready;  /* the head may be sent */
+	bool ended;	  /* no more bytes follow */
+	bool broken;	  /* the caller sees that it is incomplete */
+	bool suspended;	  /* the caller's connection is suspended */
+	bool paused;	  /* the engine's stream is paused */
+	bool caller_left; /* the caller has disconnected */
+	bool keep_bytes;  /* keep all bytes for later calls with the key */
 	enum request_outcome outcome;
 	enum request_code code;
 	msec retry_after;
@@ -113,18 +113,18 @@
 void answer_init(struct answer *, struct MHD_Connection *);
 void answer_finish(struct answer *);
 /* Core: let an attempt write; earlier attempts no longer can. */
-void answer_allow(struct answer *, unsigned int attempt);
+void answer_set_attempt(struct answer *, unsigned int attempt);
 /*
  * Engine threads: whether the next bytes may be put. ANSWER_PAUSE: not until
- * the reader calls engine_unpause(). After ANSWER_TAKEN all bytes at hand may
- * be put, whatever their number.
+ * the reader calls engine_unpause(). After ANSWER_ACCEPTED all bytes at hand
+ * may be put, whatever their number.
  */
-enum answer_put answer_room(struct answer *, unsigned int attempt);
+enum answer_put answer_check_room(struct answer *, unsigned int attempt);
 /* Append bytes; `head_now`: the head is sent with them. */
 enum answer_put answer_put(
     struct answer *, unsigned int attempt, const char *, size_t, bool head_now);
 /* Bytes not yet sent, or all bytes while they are kept. */
-size_t answer_held(struct answer *);
+size_t answer_buffered(struct answer *);
 /* Set status and type before the first bytes; false: attempt is abandoned. */
 bool answer_head(struct answer *, unsigned int attempt, unsigned int status,
     const char *content_type);
@@ -339,8 +339,8 @@
 	bool documents_read; /* to the log's end, or from a peer */
 	bool log_down;
 	uint64_t log_first, log_next;
-	msec checkpoint_at;   /* next check whether one is due */
-	bool checkpoint_seen; /* one was due at the last check */
+	msec checkpoint_check_at; /* next check whether one is due */
+	bool checkpoint_was_due;  /* one was due at the last check */
 	pthread_mutex_t docs_lock;
 	struct doc_set *docs;
 	struct log_io *log;
@@ -351,15 +351,15 @@
 	struct MHD_Daemon *control_http;
 	struct listener caller_listener;
 	struct listener control_listener;
-	msec quiesced;	       /* when accepting connections stopped, or 0 */
-	msec cut;	       /* when the stop deadline cut the rest, or 0 */
+	msec quiesced_at;      /* when accepting connections stopped, or 0 */
+	msec cut_at;	       /* when the stop deadline cut the rest, or 0 */
 	uint64_t stop_no_time; /* refused: could not end in time */
 	uint64_t stop_cut;     /* requests cut at the deadline */
 	gint unsent;	       /* answers not yet sent completely; atomic */
 	struct backend_tree backends;
 	msec load_due;
 	msec vm_list_due;
-	bool told_to_leave; /* the VM list or a peer requests it */
+	bool leave_requested; /* the VM list or a peer requests it */
 	bool vm_list_busy;
 	bool vm_list_read;
 	msec import_due;
@@ -385,21 +385,21 @@
 extern const struct dispatch_ops daemon_dispatch_ops;
 void daemon_call_gone(struct daemon *, struct call *, msec);
 /* Refuse queued calls that could not end before the stop deadline. */
-void daemon_call_leaving(struct daemon *, msec);
+void daemon_call_refuse_late(struct daemon *, msec);
 void daemon_call_first(struct daemon *, const struct event *, msec);
 void daemon_call_ended(struct daemon *, const struct event *, msec);
 /* It was given another's answer, or that answer was not kept. */
 void daemon_call_joined(struct daemon *, struct call *, msec);
-void daemon_call_join_lost(struct daemon *, struct call *, msec);
+void daemon_call_join_unknown(struct daemon *, struct call *, msec);
 /* daemon-admit.c: tickets and keys decide whether it runs here */
 void daemon_admit(struct daemon *, struct call *, msec);
 /* Before anything can fail, and when the call has ended. */
 void daemon_admit_begin(struct call *);
 /* Its organisation's limits allow it. */
-void daemon_admit_go(struct daemon *, struct call *, msec);
+void daemon_admit_continue(struct daemon *, struct call *, msec);
 void daemon_admit_ended(struct daemon *, struct call *);
 /* Refuse a call that could not end before the stop; it holds no slot. */
-void daemon_admit_leaving(struct daemon *, struct call *, msec);
+void daemon_admit_refuse_late(struct daemon *, struct call *, msec);
 /* Forward the call to the node that decides whether it runs. */
 void
 daemon_forward(struct daemon *, struct call *, const struct member *, msec);
@@ -437,10 +437,10 @@
 void daemon_peers_finish(struct daemon *);
 void daemon_peers_send(struct daemon *, name_id, const sp_msg *);
 /* Update the documents and the load that this node reports to peers. */
-void daemon_self_push(struct daemon *, msec);
+void daemon_self_update(struct daemon *, msec);
 /* Pass the list of nodes to dispatch, ledger and limits. */
-void daemon_nodes_push(struct daemon *, msec);
-void daemon_engines_push(struct daemon *, msec);
+void daemon_nodes_update(struct daemon *, msec);
+void daemon_engines_update(struct daemon *, msec);
 struct backend *daemon_backend_find(struct daemon *, name_id);
 /* daemon-docs.c: the documents stream */
 void daemon_docs_init(struct daemon *);
@@ -456,15 +456,16 @@
 /* The grace period of the leave is over: no new work is taken. */
 bool daemon_stop_is_past_grace(const struct daemon *, msec);
 /* The parts of a request that are still ahead. */
-enum stop_ahead {
-	STOP_AHEAD_WHOLE, /* its wait for a backend server, and its run */
-	STOP_AHEAD_RUN	  /* its run */
+enum stop_remaining {
+	STOP_REMAINING_WAIT_AND_RUN, /* its wait for a backend server, and its
+					run */
+	STOP_REMAINING_RUN	     /* its run */
 };
 /* Whether the call can end before the stop deadline. */
-bool daemon_stop_leaves_time(
-    struct daemon *, const struct call *, enum stop_ahead, msec);
+bool daemon_stop_has_time_for(
+    struct daemon *, const struct call *, enum stop_remaining, msec);
 /* Record the duration of an ended request for its class. */
-void daemon_stop_learn(struct daemon *, const struct call *, msec);
+void daemon_stop_record_duration(struct daemon *, const struct call *, msec);
 void daemon_stop_tick(struct daemon *, msec);
 /* The progress of the stop and the recorded durations, for the dump. */
 json_t *daemon_stop_dump(struct daemon *, msec);
--- a/tests/test-answer.c
+++ b/tests/test-answer.c
@@ -23,18 +23,18 @@
 setup(struct answer *a)
 {
 	answer_init(a, NULL);
-	answer_allow(a, ATTEMPT);
+	answer_set_attempt(a, ATTEMPT);
 	answer_head(a, ATTEMPT, 200, "text/event-stream");
 }
 
 static void
 put(struct answer *a, size_t n)
 {
-	static const char bytes[ANSWER_HIGH];
+	static const char bytes[ANSWER_PAUSE_BYTES];
 
 	g_assert_cmpuint(n, <=, sizeof bytes);
 	g_assert_cmpint(
-	    answer_put(a, ATTEMPT, bytes, n, true), ==, ANSWER_TAKEN);
+	    answer_put(a, ATTEMPT, bytes, n, true), ==, ANSWER_ACCEPTED);
 }
 
 /*
@@ -48,11 +48,11 @@
 	struct answer a;
 
 	setup(&a);
-	put(&a, ANSWER_HIGH - 10);
-	g_assert_cmpint(answer_room(&a, ATTEMPT), ==, ANSWER_TAKEN);
+	put(&a, ANSWER_PAUSE_BYTES - 10);
+	g_assert_cmpint(answer_check_room(&a, ATTEMPT), ==, ANSWER_ACCEPTED);
 	put(&a, 100);
 	put(&a, 200);
-	g_assert_cmpuint(a.len - a.at, ==, ANSWER_HIGH + 290);
+	g_assert_cmpuint(a.len - a.at, ==, ANSWER_PAUSE_BYTES + 290);
 	answer_finish(&a);
 }
 
@@ -64,13 +64,14 @@
 	unsigned int i;
 
 	setup(&a);
-	for (i = 0; answer_room(&a, ATTEMPT) == ANSWER_TAKEN; i++) {
-		g_assert_cmpuint(i, <, 2 * ANSWER_HIGH / DELIVERY);
+	for (i = 0; answer_check_room(&a, ATTEMPT) == ANSWER_ACCEPTED; i++) {
+		g_assert_cmpuint(i, <, 2 * ANSWER_PAUSE_BYTES / DELIVERY);
 		put(&a, DELIVERY);
 	}
-	g_assert_cmpint(answer_room(&a, ATTEMPT), ==, ANSWER_PAUSE);
+	g_assert_cmpint(answer_check_room(&a, ATTEMPT), ==, ANSWER_PAUSE);
 	g_assert_true(a.paused);
-	g_assert_cmpuint(answer_held(&a), <=, ANSWER_HIGH + DELIVERY);
+	g_assert_cmpuint(
+	    answer_buffered(&a), <=, ANSWER_PAUSE_BYTES + DELIVERY);
 	answer_finish(&a);
 }
 
@@ -81,10 +82,10 @@
 	struct answer a;
 
 	setup(&a);
-	answer_allow(&a, ATTEMPT + 1);
-	g_assert_cmpint(answer_room(&a, ATTEMPT), ==, ANSWER_DROP);
+	answer_set_attempt(&a, ATTEMPT + 1);
+	g_assert_cmpint(answer_check_room(&a, ATTEMPT), ==, ANSWER_DROP);
 	g_assert_cmpint(answer_put(&a, ATTEMPT, "x", 1, true), ==, ANSWER_DROP);
-	g_assert_cmpuint(answer_held(&a), ==, 0);
+	g_assert_cmpuint(answer_buffered(&a), ==, 0);
 	answer_finish(&a);
 }
 
