--- a/buffer.c
+++ b/buffer.c
@@ -7,7 +7,7 @@
 #include <stdarg.h>
 #include <string.h>
 
-#define BUFFER_LEAST 512
+#define BUFFER_SIZE_MIN 512
 
 void
 buffer_finish(struct buffer *b)
@@ -17,7 +17,7 @@
 }
 
 char *
-buffer_room(struct buffer *b, size_t n)
+buffer_reserve(struct buffer *b, size_t n)
 {
 	size_t need;
 
@@ -28,14 +28,14 @@
 	}
 	need = b->len + n;
 	if (need > b->size) {
-		b->size = MAX(MAX(need, b->size * 2), BUFFER_LEAST);
+		b->size = MAX(MAX(need, b->size * 2), BUFFER_SIZE_MIN);
 		b->data = g_realloc(b->data, b->size);
 	}
 	return b->data + b->len;
 }
 
 void
-buffer_added(struct buffer *b, size_t n)
+buffer_commit(struct buffer *b, size_t n)
 {
 	b->len += n;
 }
@@ -45,7 +45,7 @@
 {
 	if (n == 0)
 		return;
-	memcpy(buffer_room(b, n), bytes, n);
+	memcpy(buffer_reserve(b, n), bytes, n);
 	b->len += n;
 }
 
@@ -68,7 +68,7 @@
 }
 
 void
-buffer_drop(struct buffer *b, size_t n)
+buffer_consume(struct buffer *b, size_t n)
 {
 	b->at += n;
 	if (b->at >= b->len)
@@ -82,7 +82,7 @@
 }
 
 size_t
-buffer_left(const struct buffer *b)
+buffer_length(const struct buffer *b)
 {
 	return b->len - b->at;
 }
--- a/buffer.h
+++ b/buffer.h
@@ -22,19 +22,19 @@
 void buffer_finish(struct buffer *);
 /*
  * Make room for so many bytes at the end and return where they go; report how
- * many were written there with buffer_added().
+ * many were written there with buffer_commit().
  */
-char *buffer_room(struct buffer *, size_t);
-void buffer_added(struct buffer *, size_t);
+char *buffer_reserve(struct buffer *, size_t);
+void buffer_commit(struct buffer *, size_t);
 /* Append bytes, a string, or formatted text. */
 void buffer_add(struct buffer *, const void *, size_t);
 void buffer_add_text(struct buffer *, const char *);
 void buffer_printf(struct buffer *, const char *, ...)
     __attribute__((format(printf, 2, 3)));
 /* Remove so many bytes from the start; an emptied buffer frees its memory. */
-void buffer_drop(struct buffer *, size_t);
+void buffer_consume(struct buffer *, size_t);
 /* The unread bytes, and their number. */
 const char *buffer_bytes(const struct buffer *);
-size_t buffer_left(const struct buffer *);
+size_t buffer_length(const struct buffer *);
 
 #endif /* BUFFER_H */
--- a/daemon-engine.c
+++ b/daemon-engine.c
@@ -385,7 +385,7 @@
 		return t == 0 && connects != 0 ? ATTEMPT_UNSENT
 					       : ATTEMPT_BROKEN;
 	}
-	if (a->is_stream && a->sse.done && !a->sse.bad)
+	if (a->is_stream && a->sse.done && !a->sse.malformed)
 		return ATTEMPT_WHOLE;
 	if (rc != CURLE_OK || a->cancelled)
 		return ATTEMPT_BROKEN;
--- a/daemon-stop.c
+++ b/daemon-stop.c
@@ -60,9 +60,9 @@
 	if (c->request.outcome != REQUEST_RAN || c->request.attempts == 0 ||
 	    c->forward_to != 0)
 		return;
-	duration_learn(&stop_class(d, c)->lasts, now - c->arrived);
+	duration_add(&stop_class(d, c)->lasts, now - c->arrived);
 	if (c->request.attempts == 1)
-		duration_learn(&stop_class(d, c)->runs, now - c->dispatched);
+		duration_add(&stop_class(d, c)->runs, now - c->dispatched);
 }
 
 /*
@@ -89,7 +89,7 @@
 	if (c->slot.deadline != MSEC_NEVER)
 		most = c->slot.deadline - now;
 	mc = stop_class(d, c);
-	return duration_most(
+	return duration_upper_estimate(
 		   ahead == STOP_REMAINING_RUN ? &mc->runs : &mc->lasts,
 		   most) <= left;
 }
@@ -199,7 +199,7 @@
 static json_t *
 stop_duration(const struct duration *t)
 {
-	msec most = duration_most(t, MSEC_NEVER);
+	msec most = duration_upper_estimate(t, MSEC_NEVER);
 
 	return most == MSEC_NEVER ? json_null() : json_integer(most);
 }
@@ -214,7 +214,7 @@
 		json_array_append_new(
 		    list, json_pack("{s:s, s:s, s:I, s:o, s:o}", "service",
 			      c->service, "class", c->name, "seen",
-			      (json_int_t)c->lasts.seen, "lasts_ms",
+			      (json_int_t)c->lasts.samples, "lasts_ms",
 			      stop_duration(&c->lasts), "runs_ms",
 			      stop_duration(&c->runs)));
 	return list;
--- a/duration.c
+++ b/duration.c
@@ -7,7 +7,7 @@
 #include <math.h>
 
 /* With fewer samples the deviation is meaningless. */
-#define DURATION_LEAST_SEEN 8
+#define DURATION_SAMPLES_MIN 8
 /* Weight of the newest sample; a larger one doubles the estimate's noise. */
 #define DURATION_ALPHA 0.0625
 /*
@@ -15,14 +15,14 @@
  * 3.7% of the responses of nine kinds exceed it (37,000 responses from the logs
  * of rolling restarts of 60 and 82 nodes).
  */
-#define DURATION_TIMES 5
+#define DURATION_DEVIATIONS 5
 
 void
-duration_learn(struct duration *d, msec took)
+duration_add(struct duration *d, msec took)
 {
 	double alpha, off;
 
-	if (d->seen++ == 0) {
+	if (d->samples++ == 0) {
 		d->mean = (double)took;
 		d->deviation = (double)took / 2;
 		return;
@@ -33,33 +33,33 @@
 	 * of the 9th to 16th responses of a kind 2.1% exceeded it (3,245 from
 	 * node logs), with equal weights 0.5%.
 	 */
-	alpha = MAX(DURATION_ALPHA, 1.0 / d->seen);
+	alpha = MAX(DURATION_ALPHA, 1.0 / d->samples);
 	off = (double)took - d->mean;
 	d->deviation += alpha * (fabs(off) - d->deviation);
 	d->mean += alpha * off;
 }
 
 void
-duration_learn_at_least(struct duration *d, msec took)
+duration_add_lower_bound(struct duration *d, msec took)
 {
 	/* A lower bound below the mean carries no information. */
 	if ((double)took > d->mean)
-		duration_learn(d, took);
+		duration_add(d, took);
 }
 
 msec
-duration_most(const struct duration *d, msec most)
+duration_upper_estimate(const struct duration *d, msec most)
 {
 	msec longest;
 
-	if (d->seen < DURATION_LEAST_SEEN)
+	if (d->samples < DURATION_SAMPLES_MIN)
 		return most;
-	longest = (msec)ceil(d->mean + DURATION_TIMES * d->deviation);
+	longest = (msec)ceil(d->mean + DURATION_DEVIATIONS * d->deviation);
 	return MIN(longest, most);
 }
 
 msec
-duration_usual(const struct duration *d, msec unknown)
+duration_mean(const struct duration *d, msec unknown)
 {
-	return d->seen < DURATION_LEAST_SEEN ? unknown : (msec)d->mean;
+	return d->samples < DURATION_SAMPLES_MIN ? unknown : (msec)d->mean;
 }
--- a/duration.h
+++ b/duration.h
@@ -15,22 +15,22 @@
 /* Allocated by the caller; a zeroed struct has no samples. */
 struct duration {
 	double mean, deviation; /* ms, smoothed */
-	uint64_t seen;		/* samples */
+	uint64_t samples;	/* samples */
 };
 
 /* Add the duration of a finished request, in ms. */
-void duration_learn(struct duration *, msec);
+void duration_add(struct duration *, msec);
 /*
  * Add a request that was abandoned after so many ms: a lower bound of its
  * duration.
  */
-void duration_learn_at_least(struct duration *, msec);
+void duration_add_lower_bound(struct duration *, msec);
 /*
  * An upper estimate in ms that few requests exceed. At most `most`, which is
  * also returned while there are too few samples.
  */
-msec duration_most(const struct duration *, msec most);
+msec duration_upper_estimate(const struct duration *, msec most);
 /* The mean duration in ms; `unknown` while there are too few samples. */
-msec duration_usual(const struct duration *, msec unknown);
+msec duration_mean(const struct duration *, msec unknown);
 
 #endif /* DURATION_H */
--- a/entry-attempt.c
+++ b/entry-attempt.c
@@ -101,10 +101,10 @@
 	buffer_printf(out, "%s %s HTTP/1.1\r\n", h->method, h->target);
 	for (i = 0; i < h->nfields; i++) {
 		use = j->owner->wire->field(h->fields[i].name);
-		if (use == WIRE_FIELD_KEEP ||
-		    (use == WIRE_FIELD_KEY && j->table->keyed) ||
+		if (use == WIRE_FIELD_REMOVE ||
+		    (use == WIRE_FIELD_API_KEY && j->table->keyed) ||
 		    (use == WIRE_FIELD_RESUME && terms.resumed) ||
-		    http_field_is_hop(h, h->fields[i].name))
+		    http_field_is_hop_by_hop(h, h->fields[i].name))
 			continue;
 		buffer_add_text(out, h->fields[i].name);
 		buffer_add(out, ": ", 2);
@@ -112,13 +112,13 @@
 		buffer_add(out, "\r\n", 2);
 	}
 	j->owner->wire->terms(out, &terms);
-	if (h->has_body || h->sized)
+	if (h->has_body || h->has_length)
 		buffer_printf(out, "Content-Length: %zu\r\n",
-		    buffer_left(&j->caller->body));
+		    buffer_length(&j->caller->body));
 	buffer_add(out, "\r\n", 2);
-	if (buffer_left(&j->caller->body) > 0)
+	if (buffer_length(&j->caller->body) > 0)
 		buffer_add(out, buffer_bytes(&j->caller->body),
-		    buffer_left(&j->caller->body));
+		    buffer_length(&j->caller->body));
 }
 
 /* How long the current server may be silent before it is checked, in ms. */
@@ -162,13 +162,13 @@
 {
 	struct entry *e = j->owner;
 	struct buffer request = { 0 };
-	bool to_head = strcmp(j->head->method, "HEAD") == 0;
+	bool for_head_request = strcmp(j->head->method, "HEAD") == 0;
 
 	if (j->ntried < SERVER_AVOID_MAX)
 		j->tried[j->ntried++] = v->id;
 	job_write_request(j, now, v, &request);
-	j->link = link_send(
-	    e, v, j, &job_link_ops, &request, to_head, !j->repeatable, now);
+	j->link = link_send(e, v, j, &job_link_ops, &request, for_head_request,
+	    !j->repeatable, now);
 	buffer_finish(&request);
 	if (j->link == NULL)
 		return false;
@@ -634,7 +634,7 @@
 		return false;
 	k = entry_route_stats_find(j->owner, j->route->name);
 	return k != NULL &&
-	       duration_usual(&k->stream_time, 0) > j->deadline - now;
+	       duration_mean(&k->stream_time, 0) > j->deadline - now;
 }
 
 static void
--- a/entry-caller.c
+++ b/entry-caller.c
@@ -87,7 +87,7 @@
 
 	c->busy = false;
 	/* With all bytes sent, close without a reset, so that they arrive. */
-	if (buffer_left(&c->out) == 0 && !c->write_closed) {
+	if (buffer_length(&c->out) == 0 && !c->write_closed) {
 		shutdown(c->io.fd, SHUT_WR);
 		c->write_closed = c->closing = true;
 		loop_timer_set(
@@ -201,11 +201,12 @@
 {
 	uint32_t events = EPOLLRDHUP;
 
-	if (!c->eof && (!c->busy || buffer_left(&c->in) < CALLER_PIPELINED_MAX))
+	if (!c->eof &&
+	    (!c->busy || buffer_length(&c->in) < CALLER_PIPELINED_MAX))
 		events |= EPOLLIN;
 	if (c->eof)
 		events = 0;
-	if (buffer_left(&c->out) > 0)
+	if (buffer_length(&c->out) > 0)
 		events |= EPOLLOUT;
 	/* epoll reports errors and hang-ups in any case. */
 	loop_watch(&c->owner->loop, &c->io, events | EPOLLERR);
@@ -251,7 +252,7 @@
 	const struct http_head *h = c->reader.head;
 	struct route_limits limits = caller_limits(c);
 
-	if (h->sized && h->length > limits.body_bytes) {
+	if (h->has_length && h->length > limits.body_bytes) {
 		caller_reject(c, now, 413);
 		return;
 	}
@@ -267,7 +268,7 @@
 	enum http_stage before;
 	size_t n;
 
-	while (!c->busy && !c->closing && buffer_left(&c->in) > 0) {
+	while (!c->busy && !c->closing && buffer_length(&c->in) > 0) {
 		before = c->reader.stage;
 		if (http_reader_is_idle(&c->reader)) {
 			struct route_limits limits = caller_limits(c);
@@ -277,18 +278,18 @@
 			loop_timer_set(&c->owner->loop, &c->timer,
 			    now + limits.head_timeout);
 		}
-		n = http_reader_take(
-		    &c->reader, buffer_bytes(&c->in), buffer_left(&c->in));
+		n = http_reader_parse(
+		    &c->reader, buffer_bytes(&c->in), buffer_length(&c->in));
 		if (c->reader.stage == HTTP_STAGE_FAILED) {
 			caller_reject(
 			    c, now, caller_error_status(c->reader.error));
 			return;
 		}
-		buffer_drop(&c->in, n);
+		buffer_consume(&c->in, n);
 		if (before == HTTP_STAGE_HEAD &&
 		    c->reader.stage == HTTP_STAGE_BODY)
 			caller_head_complete(c, now);
-		if (c->reader.stage == HTTP_STAGE_WHOLE && !c->closing)
+		if (c->reader.stage == HTTP_STAGE_COMPLETE && !c->closing)
 			caller_request_complete(c, now);
 	}
 }
@@ -300,19 +301,19 @@
 	ssize_t n;
 
 	for (;;) {
-		if (c->busy && buffer_left(&c->in) >= CALLER_PIPELINED_MAX)
+		if (c->busy && buffer_length(&c->in) >= CALLER_PIPELINED_MAX)
 			return true;
-		n = recv(c->io.fd, buffer_room(&c->in, CALLER_READ_SIZE),
+		n = recv(c->io.fd, buffer_reserve(&c->in, CALLER_READ_SIZE),
 		    CALLER_READ_SIZE, 0);
 		if (n > 0) {
-			buffer_added(&c->in, (size_t)n);
+			buffer_commit(&c->in, (size_t)n);
 			if (c->closing)
 				buffer_finish(&c->in);
 			if (n < CALLER_READ_SIZE)
 				return true;
 			continue;
 		}
-		if (buffer_left(&c->in) == 0)
+		if (buffer_length(&c->in) == 0)
 			buffer_finish(&c->in);
 		if (n == -1 && errno == EINTR)
 			continue;
@@ -342,7 +343,7 @@
 	    !caller_read(c, now))
 		return;
 	if (c->eof &&
-	    (c->busy || c->write_closed || buffer_left(&c->out) == 0)) {
+	    (c->busy || c->write_closed || buffer_length(&c->out) == 0)) {
 		caller_abort(c, now);
 		return;
 	}
@@ -361,7 +362,7 @@
 {
 	struct caller *c = t->arg;
 
-	if (!c->closing && !c->busy && buffer_left(&c->in) > 0) {
+	if (!c->closing && !c->busy && buffer_length(&c->in) > 0) {
 		caller_parse(c, now);
 		caller_watch(c);
 		return;
@@ -378,7 +379,7 @@
 size_t
 caller_unsent(const struct caller *c)
 {
-	return buffer_left(&c->out);
+	return buffer_length(&c->out);
 }
 
 void
@@ -411,12 +412,12 @@
 caller_flush(struct caller *c)
 {
 	msec now = c->owner->loop.now;
-	size_t before = buffer_left(&c->out);
+	size_t before = buffer_length(&c->out);
 	ssize_t n;
 
-	while (buffer_left(&c->out) > 0) {
-		n = send(c->io.fd, buffer_bytes(&c->out), buffer_left(&c->out),
-		    MSG_NOSIGNAL);
+	while (buffer_length(&c->out) > 0) {
+		n = send(c->io.fd, buffer_bytes(&c->out),
+		    buffer_length(&c->out), MSG_NOSIGNAL);
 		if (n == -1 && errno == EINTR)
 			continue;
 		if (n == -1 && errno == EAGAIN)
@@ -430,12 +431,12 @@
 			buffer_finish(&c->out);
 			break;
 		}
-		buffer_drop(&c->out, (size_t)n);
+		buffer_consume(&c->out, (size_t)n);
 	}
 	if (before >= CALLER_LOW_WATER &&
-	    buffer_left(&c->out) < CALLER_LOW_WATER && c->busy)
+	    buffer_length(&c->out) < CALLER_LOW_WATER && c->busy)
 		c->ops->drained(c, now);
-	if (c->closing && !c->write_closed && buffer_left(&c->out) == 0)
+	if (c->closing && !c->write_closed && buffer_length(&c->out) == 0)
 		caller_close_write(c, now);
 	caller_watch(c);
 }
@@ -448,7 +449,7 @@
 	c->busy = false;
 	c->served++;
 	buffer_finish(&c->body);
-	if (!keep || c->reader.stage != HTTP_STAGE_WHOLE ||
+	if (!keep || c->reader.stage != HTTP_STAGE_COMPLETE ||
 	    !c->reader.head->keep_alive)
 		c->closing = true;
 	if (!c->closing) {
@@ -460,7 +461,7 @@
 	}
 	caller_flush(c);
 	/* Handle pipelined requests on the next turn, without recursion. */
-	if (!c->closing && buffer_left(&c->in) > 0)
+	if (!c->closing && buffer_length(&c->in) > 0)
 		loop_timer_set(&e->loop, &c->timer, now);
 }
 
@@ -468,7 +469,7 @@
 caller_answer(struct caller *c, msec now, unsigned int status,
     const char *fields, const char *type, const char *body, bool keep)
 {
-	keep = keep && c->reader.stage == HTTP_STAGE_WHOLE &&
+	keep = keep && c->reader.stage == HTTP_STAGE_COMPLETE &&
 	       c->reader.head->keep_alive;
 	buffer_printf(
 	    &c->out, "HTTP/1.1 %u %s\r\n", status, http_status_text(status));
@@ -489,7 +490,8 @@
 
 	TAILQ_FOREACH_SAFE (c, &e->callers, entry, next) {
 		if (c->busy || c->closing || !c->delays_stop ||
-		    !http_reader_is_idle(&c->reader) || buffer_left(&c->in) > 0)
+		    !http_reader_is_idle(&c->reader) ||
+		    buffer_length(&c->in) > 0)
 			continue;
 		/*
 		 * A first request may be on its way. It would be read and
--- a/entry-job.c
+++ b/entry-job.c
@@ -134,7 +134,7 @@
 	if (code != JOB_SERVED || !j->streamed || j->route == NULL)
 		return;
 	if ((k = entry_route_stats_find(j->owner, j->route->name)) != NULL)
-		duration_learn(&k->stream_time, now - j->first_at);
+		duration_add(&k->stream_time, now - j->first_at);
 }
 
 void
@@ -276,7 +276,7 @@
 		.path = j->request.path,
 		.caller = address,
 		.body = buffer_bytes(&c->body),
-		.length = buffer_left(&c->body) };
+		.length = buffer_length(&c->body) };
 
 	if (j->organisation != NULL)
 		r.caller = j->organisation->name;
--- a/entry-link.c
+++ b/entry-link.c
@@ -207,7 +207,7 @@
 
 	if (!k->paused)
 		events |= EPOLLIN | EPOLLRDHUP;
-	if (k->connecting || buffer_left(&k->out) > 0)
+	if (k->connecting || buffer_length(&k->out) > 0)
 		events |= EPOLLOUT;
 	loop_watch(&k->owner->loop, &k->io, events | EPOLLERR);
 }
@@ -218,9 +218,9 @@
 {
 	ssize_t n;
 
-	while (buffer_left(&k->out) > 0) {
-		n = send(k->io.fd, buffer_bytes(&k->out), buffer_left(&k->out),
-		    MSG_NOSIGNAL);
+	while (buffer_length(&k->out) > 0) {
+		n = send(k->io.fd, buffer_bytes(&k->out),
+		    buffer_length(&k->out), MSG_NOSIGNAL);
 		if (n == -1 && errno == EINTR)
 			continue;
 		if (n == -1 && errno == EAGAIN)
@@ -228,7 +228,7 @@
 		if (n <= 0)
 			return false;
 		k->sent = true;
-		buffer_drop(&k->out, (size_t)n);
+		buffer_consume(&k->out, (size_t)n);
 	}
 	link_watch(k);
 	return true;
@@ -236,7 +236,7 @@
 
 struct link *
 link_send(struct entry *e, struct server *v, struct job *j,
-    const struct link_ops *ops, struct buffer *request, bool to_head,
+    const struct link_ops *ops, struct buffer *request, bool for_head_request,
     bool fresh, msec now)
 {
 	struct link *k = link_take_idle(e, v, fresh, now);
@@ -247,7 +247,7 @@
 	k->ops = ops;
 	k->sent = false;
 	k->paused = false;
-	k->reader.to_head = to_head;
+	k->reader.for_head_request = for_head_request;
 	k->out = *request;
 	*request = (struct buffer){ 0 };
 	/*
@@ -293,8 +293,8 @@
 
 	k->owner->wire->answer(k->reader.head, "", &a);
 	k->idle_limit = LINK_IDLE_DEFAULT_MS;
-	if (a.keeps_idle > 0)
-		k->idle_limit = MIN(k->idle_limit, a.keeps_idle);
+	if (a.keep_alive_timeout > 0)
+		k->idle_limit = MIN(k->idle_limit, a.keep_alive_timeout);
 	k->idle_limit = MAX(k->idle_limit - LINK_IDLE_MARGIN_MS, 1);
 	k->idle_since = now;
 	k->used = true;
@@ -321,9 +321,9 @@
 static void
 link_answer_complete(struct link *k, size_t rest, msec now)
 {
-	bool keep = k->reader.head->keep_alive && !k->reader.head->to_the_end &&
-		    rest == 0 && buffer_left(&k->out) == 0 &&
-		    link_is_current(k);
+	bool keep = k->reader.head->keep_alive &&
+		    !k->reader.head->until_close && rest == 0 &&
+		    buffer_length(&k->out) == 0 && link_is_current(k);
 
 	k->ops->complete(k, now);
 	k->job = NULL;
@@ -347,7 +347,7 @@
 	if (h->status < 200 || !k->ops->head(k, h, now)) {
 		k->discard_answer = true;
 		k->owner->counters.strays += h->status >= 200;
-		return !h->to_the_end;
+		return !h->until_close;
 	}
 	k->discard_answer = false;
 	return true;
@@ -364,7 +364,7 @@
 	k->owner->link_being_parsed = k;
 	while (n > 0 && k->job != NULL) {
 		before = k->reader.stage;
-		took = http_reader_take(&k->reader, bytes, n);
+		took = http_reader_parse(&k->reader, bytes, n);
 		bytes += took;
 		n -= took;
 		good = k->reader.stage != HTTP_STAGE_FAILED;
@@ -373,7 +373,7 @@
 			good = link_answer_head(k, now);
 		if (!good || k->job == NULL)
 			break;
-		if (k->reader.stage != HTTP_STAGE_WHOLE)
+		if (k->reader.stage != HTTP_STAGE_COMPLETE)
 			continue;
 		if (!k->discard_answer)
 			break;
@@ -385,7 +385,7 @@
 		link_free(k);
 	else if (!good)
 		link_fail(k, now);
-	else if (k->reader.stage == HTTP_STAGE_WHOLE)
+	else if (k->reader.stage == HTTP_STAGE_COMPLETE)
 		link_answer_complete(k, n, now);
 }
 
@@ -393,7 +393,7 @@
 link_end_of_input(struct link *k, msec now)
 {
 	http_reader_close(&k->reader);
-	if (k->reader.stage == HTTP_STAGE_WHOLE && !k->discard_answer)
+	if (k->reader.stage == HTTP_STAGE_COMPLETE && !k->discard_answer)
 		link_answer_complete(k, 0, now);
 	else
 		link_fail(k, now);
--- a/entry-log.c
+++ b/entry-log.c
@@ -222,7 +222,7 @@
 		memset(l->lines_in_second, 0, sizeof l->lines_in_second);
 	}
 	if (l->lines_in_second[priority] >= log_limits_per_s[priority] ||
-	    buffer_left(&l->out) > ENTRY_LOG_BYTES) {
+	    buffer_length(&l->out) > ENTRY_LOG_BYTES) {
 		l->dropped++;
 		return false;
 	}
@@ -260,7 +260,7 @@
 log_dropped(struct entry_log *l)
 {
 	if (l->dropped == l->dropped_reported ||
-	    buffer_left(&l->out) > ENTRY_LOG_BYTES / 2)
+	    buffer_length(&l->out) > ENTRY_LOG_BYTES / 2)
 		return;
 	log_start(l, LOG_EVENT_LOG_DROPPED);
 	log_field(&l->out, &(struct entry_log_field)LOG_NUMBER(LOG_KEY_LINES,
@@ -290,12 +290,12 @@
 	ssize_t n;
 
 	log_dropped(l);
-	while (buffer_left(&l->out) > 0) {
-		n = write(l->fd, buffer_bytes(&l->out), buffer_left(&l->out));
+	while (buffer_length(&l->out) > 0) {
+		n = write(l->fd, buffer_bytes(&l->out), buffer_length(&l->out));
 		if (n == -1 && errno == EINTR)
 			continue;
 		if (n <= 0)
 			return;
-		buffer_drop(&l->out, (size_t)n);
+		buffer_consume(&l->out, (size_t)n);
 	}
 }
--- a/entry-metrics.c
+++ b/entry-metrics.c
@@ -57,10 +57,10 @@
 	if (code == JOB_SERVED)
 		metrics_observe(&k->complete, now - j->arrived);
 	if (code == JOB_SERVED)
-		duration_learn(&k->total_time, now - j->arrived);
+		duration_add(&k->total_time, now - j->arrived);
 	else if ((code == JOB_TIMEOUT && j->may_have_run) ||
 		 (code == JOB_CALLER_GONE && j->sends > 0))
-		duration_learn_at_least(&k->total_time, now - j->arrived);
+		duration_add_lower_bound(&k->total_time, now - j->arrived);
 	if (j->gap > 0)
 		metrics_observe(&k->gap, j->gap);
 }
@@ -357,7 +357,7 @@
 		    "route %s lasts-ms %.0f deviation-ms %.0f seen %" PRIu64
 		    "\n",
 		    k->route, k->total_time.mean, k->total_time.deviation,
-		    k->total_time.seen);
+		    k->total_time.samples);
 }
 
 /* Limits and prompt lengths that this node has learned as coordinator. */
--- a/entry-rate.c
+++ b/entry-rate.c
@@ -51,7 +51,7 @@
 	 * another request, or neither signed nor marked as not executed.
 	 */
 	if (h->status == 421 || k->starts != v->starts || a.other ||
-	    (!a.genuine && !a.not_executed))
+	    (!a.is_signed && !a.not_executed))
 		return;
 	if (a.rate == WIRE_RATE_UNREADABLE) {
 		rate_log_unreadable(e, v, now);
--- a/entry-reply.c
+++ b/entry-reply.c
@@ -38,7 +38,7 @@
 	if (!a.ours || a.encoded || h->status < 200)
 		return REPLY_INVALID;
 	if (h->status < 300)
-		return a.genuine ? REPLY_FORWARD : REPLY_INVALID;
+		return a.is_signed ? REPLY_FORWARD : REPLY_INVALID;
 	return h->status >= 500 ? REPLY_SERVER_ERROR : REPLY_FORWARD;
 }
 
@@ -56,7 +56,7 @@
 		      type != NULL &&
 		      g_str_has_prefix(type, "text/event-stream");
 	for (i = 0; i < h->nfields; i++) {
-		if (http_field_is_hop(h, h->fields[i].name))
+		if (http_field_is_hop_by_hop(h, h->fields[i].name))
 			continue;
 		buffer_add_text(&j->fields, h->fields[i].name);
 		buffer_add(&j->fields, ": ", 2);
@@ -89,7 +89,7 @@
 	j->first_at = now;
 	buffer_printf(
 	    out, "HTTP/1.1 %u %s\r\n", j->status, http_status_text(j->status));
-	buffer_add(out, buffer_bytes(&j->fields), buffer_left(&j->fields));
+	buffer_add(out, buffer_bytes(&j->fields), buffer_length(&j->fields));
 	buffer_finish(&j->fields);
 	j->keeps_connection = reply_keeps_connection(j);
 	if (!j->keeps_connection)
@@ -97,7 +97,7 @@
 	j->chunked = !whole;
 	if (whole)
 		buffer_printf(out, "Content-Length: %zu\r\n\r\n",
-		    buffer_left(&j->unsent_body));
+		    buffer_length(&j->unsent_body));
 	else
 		buffer_add_text(out, "Transfer-Encoding: chunked\r\n\r\n");
 }
@@ -189,7 +189,7 @@
 reply_forward_events(struct job *j, msec now)
 {
 	const char *bytes = buffer_bytes(&j->unsent_body);
-	size_t left = buffer_left(&j->unsent_body), at = 0, n;
+	size_t left = buffer_length(&j->unsent_body), at = 0, n;
 	bool good = true;
 
 	while ((n = event_length(bytes + at, left - at)) > 0) {
@@ -199,22 +199,22 @@
 	}
 	reply_forward(j, bytes, at, now);
 	if (at > 0)
-		buffer_drop(&j->unsent_body, at);
-	return good && buffer_left(&j->unsent_body) <= REPLY_EVENT_MAX;
+		buffer_consume(&j->unsent_body, at);
+	return good && buffer_length(&j->unsent_body) <= REPLY_EVENT_MAX;
 }
 
 bool
 reply_body(struct job *j, const char *bytes, size_t n, msec now)
 {
 	buffer_add(&j->unsent_body, bytes, n);
-	if (j->head->old)
+	if (j->head->is_http_1_0)
 		return true;
 	if (j->streamed)
 		return reply_forward_events(j, now);
 	if (j->answer_began ||
-	    buffer_left(&j->unsent_body) > REPLY_BUFFER_MAX) {
+	    buffer_length(&j->unsent_body) > REPLY_BUFFER_MAX) {
 		reply_forward(j, buffer_bytes(&j->unsent_body),
-		    buffer_left(&j->unsent_body), now);
+		    buffer_length(&j->unsent_body), now);
 		buffer_finish(&j->unsent_body);
 	}
 	return true;
@@ -229,10 +229,10 @@
 		reply_begin(j, now, true);
 		if (strcmp(j->head->method, "HEAD") != 0)
 			buffer_add(&c->out, buffer_bytes(&j->unsent_body),
-			    buffer_left(&j->unsent_body));
+			    buffer_length(&j->unsent_body));
 	} else {
 		reply_forward(j, buffer_bytes(&j->unsent_body),
-		    buffer_left(&j->unsent_body), now);
+		    buffer_length(&j->unsent_body), now);
 		caller_write_text(c, "0\r\n\r\n");
 	}
 	buffer_finish(&j->unsent_body);
--- a/entry-stop.c
+++ b/entry-stop.c
@@ -34,7 +34,7 @@
 	 * been pending while the VM was paused, and the stop must not take
 	 * longer than the platform allows.
 	 */
-	e->leaving_since = e->loop.before;
+	e->leaving_since = e->loop.previous_wait_start;
 	e->stop_signal_read = now;
 	e->source->ops->retract(e->source);
 	entry_duty_leave(e, now);
@@ -68,7 +68,7 @@
 {
 	if (k == NULL || now - e->leaving_since >= STOP_CALLERS_CACHE_MS)
 		return most;
-	return duration_most(&k->total_time, most);
+	return duration_upper_estimate(&k->total_time, most);
 }
 
 /*
@@ -95,7 +95,7 @@
 	    LOG_TEXT(LOG_KEY_ROUTE, j->route->name),
 	    LOG_NUMBER(LOG_KEY_NEEDS_MS, j->time_needed),
 	    LOG_NUMBER(LOG_KEY_STOP_MS, left),
-	    LOG_NUMBER(LOG_KEY_SEEN, k != NULL ? k->total_time.seen : 0));
+	    LOG_NUMBER(LOG_KEY_SEEN, k != NULL ? k->total_time.samples : 0));
 	return false;
 }
 
--- a/entry.c
+++ b/entry.c
@@ -104,7 +104,7 @@
 	RB_INIT(&e->route_stats);
 	if (!loop_init(&e->loop))
 		return false;
-	e->loop.turn = entry_turn_end;
+	e->loop.iteration_done = entry_turn_end;
 	e->loop.arg = e;
 	entry_log_init(&e->log, e->settings->node);
 	if (!entry_watch_signals(e) || !entry_state_init(e, now) ||
--- a/entry.h
+++ b/entry.h
@@ -188,13 +188,13 @@
 
 /*
  * Send a request to a server, on an idle connection or a new one. NULL when
- * that fails. `to_head`: the request's method is HEAD. `fresh`: use an idle
- * connection only if it was in use a moment ago, so that the server cannot have
- * closed it. Takes over the buffer's contents.
+ * that fails. `for_head_request`: the request's method is HEAD. `fresh`: use an
+ * idle connection only if it was in use a moment ago, so that the server cannot
+ * have closed it. Takes over the buffer's contents.
  */
 struct link *link_send(struct entry *, struct server *, struct job *,
-    const struct link_ops *, struct buffer *request, bool to_head, bool fresh,
-    msec);
+    const struct link_ops *, struct buffer *request, bool for_head_request,
+    bool fresh, msec);
 /* Cancel the attempt: closes the connection, so that the server stops work. */
 void link_cancel(struct link *);
 /* Stop or continue reading from the server. */
--- a/exchange.c
+++ b/exchange.c
@@ -16,9 +16,9 @@
 
 #define EXCHANGE_HEAD_MAX 16384
 #define EXCHANGE_BODY_MAX ((uint64_t)8 * 1024 * 1024)
-#define EXCHANGE_READ 32768
+#define EXCHANGE_READ_BYTES 32768
 /* The path counts as lost when sent bytes stay unacknowledged for so long. */
-#define EXCHANGE_SILENT_MS 1500
+#define EXCHANGE_ACK_TIMEOUT_MS 1500
 
 static void exchange_ready(struct loop_io *, uint32_t);
 static void exchange_timer(struct loop_timer *, msec);
@@ -60,7 +60,8 @@
 exchange_connect(struct exchange *x)
 {
 	struct sockaddr_in sin = { .sin_family = AF_INET };
-	int on = 1, silent = EXCHANGE_SILENT_MS, idle = 1, every = 1, count = 2;
+	int on = 1, silent = EXCHANGE_ACK_TIMEOUT_MS, idle = 1, every = 1,
+	    count = 2;
 	int fd;
 
 	fd = socket(AF_INET, SOCK_STREAM | SOCK_NONBLOCK | SOCK_CLOEXEC, 0);
@@ -87,7 +88,7 @@
 }
 
 static void
-exchange_keep_field(struct exchange *x, unsigned int status)
+exchange_copy_field(struct exchange *x, unsigned int status)
 {
 	const char *value = NULL;
 
@@ -102,11 +103,11 @@
 exchange_end(struct exchange *x, unsigned int status, msec now)
 {
 	bool keep = status != 0 && x->reader.head->keep_alive &&
-		    !x->reader.head->to_the_end;
+		    !x->reader.head->until_close;
 
 	loop_timer_stop(x->loop, &x->timer);
 	buffer_finish(&x->request);
-	exchange_keep_field(x, status);
+	exchange_copy_field(x, status);
 	http_reader_reset(&x->reader);
 	if (!keep)
 		loop_close(x->loop, &x->io);
@@ -119,12 +120,12 @@
 static void
 exchange_fail(struct exchange *x, msec now)
 {
-	bool again = x->repeat && x->reused &&
+	bool again = x->may_repeat && x->reused &&
 		     http_reader_is_idle(&x->reader) && x->body.len == 0;
 
 	loop_close(x->loop, &x->io);
 	http_reader_reset(&x->reader);
-	x->repeat = false;
+	x->may_repeat = false;
 	if (again) {
 		x->written = 0;
 		if (exchange_connect(x))
@@ -137,12 +138,12 @@
 exchange_write(struct exchange *x, msec now)
 {
 	const char *bytes = buffer_bytes(&x->request);
-	size_t n = buffer_left(&x->request);
+	size_t n = buffer_length(&x->request);
 	ssize_t wrote;
 
 	if (x->written == 0 && x->sending != NULL &&
 	    !x->sending(x, msec_now())) {
-		x->repeat = false;
+		x->may_repeat = false;
 		exchange_fail(x, now);
 		return;
 	}
@@ -188,7 +189,7 @@
 	buffer_add_text(&x->request, "\r\n");
 	buffer_add(&x->request, body, n);
 	x->busy = true;
-	x->repeat = strcmp(method, "GET") == 0;
+	x->may_repeat = strcmp(method, "GET") == 0;
 	x->written = 0;
 	x->asked = msec_now();
 	loop_timer_set(x->loop, &x->timer, x->asked + timeout);
@@ -206,7 +207,7 @@
 static void
 exchange_read(struct exchange *x, msec now)
 {
-	char bytes[EXCHANGE_READ];
+	char bytes[EXCHANGE_READ_BYTES];
 	size_t at = 0, took;
 	ssize_t n;
 
@@ -223,19 +224,20 @@
 	}
 	if (n == 0) {
 		http_reader_close(&x->reader);
-		if (x->reader.stage == HTTP_STAGE_WHOLE)
+		if (x->reader.stage == HTTP_STAGE_COMPLETE)
 			exchange_end(x, x->reader.head->status, now);
 		else
 			exchange_fail(x, now);
 		return;
 	}
-	while (at < (size_t)n && x->reader.stage < HTTP_STAGE_WHOLE) {
-		took = http_reader_take(&x->reader, bytes + at, (size_t)n - at);
+	while (at < (size_t)n && x->reader.stage < HTTP_STAGE_COMPLETE) {
+		took =
+		    http_reader_parse(&x->reader, bytes + at, (size_t)n - at);
 		at += took;
 	}
 	if (x->reader.stage == HTTP_STAGE_FAILED || at < (size_t)n)
 		exchange_fail(x, now);
-	else if (x->reader.stage == HTTP_STAGE_WHOLE)
+	else if (x->reader.stage == HTTP_STAGE_COMPLETE)
 		exchange_end(x, x->reader.head->status, now);
 }
 
@@ -269,6 +271,6 @@
 {
 	struct exchange *x = t->arg;
 
-	x->repeat = false;
+	x->may_repeat = false;
 	exchange_fail(x, now);
 }
--- a/exchange.h
+++ b/exchange.h
@@ -14,7 +14,7 @@
 struct exchange;
 
 /* Bytes kept of a header field's value; a longer value is truncated. */
-#define EXCHANGE_VALUE 32
+#define EXCHANGE_VALUE_SIZE 32
 
 /*
  * Called when the request ends: with the response's status and exchange->body,
@@ -40,16 +40,17 @@
 	struct buffer body; /* of the response; valid within done() */
 	/* The header field to copy from the response; NULL: none. */
 	const char *field;
-	char value[EXCHANGE_VALUE]; /* "" when the field is missing or repeated
-				     */
+	char value[EXCHANGE_VALUE_SIZE]; /* "" when the field is missing or
+					  * repeated
+					  */
 	/* Private from here. */
 	struct http_reader reader;
 	struct buffer request; /* kept for a repeat until the request ends */
 	size_t written;
 	struct loop_timer timer;
 	bool connecting;
-	bool reused; /* the connection has carried an earlier request */
-	bool repeat; /* the request may be sent again on a new connection */
+	bool reused;	 /* the connection has carried an earlier request */
+	bool may_repeat; /* the request may be sent again on a new connection */
 };
 
 void exchange_init(struct exchange *, struct loop *, uint32_t, uint16_t,
--- a/http-message.c
+++ b/http-message.c
@@ -12,31 +12,31 @@
 	"!#$%&'*+-.^_`|~0123456789abcdefghijklmnopqrstuvwxyz" \
 	"ABCDEFGHIJKLMNOPQRSTUVWXYZ"
 
-static int parser_headers(struct http_parser *);
-static int parser_body(struct http_parser *, const char *, size_t);
-static int parser_whole(struct http_parser *);
+static int on_headers_complete_cb(struct http_parser *);
+static int on_body_cb(struct http_parser *, const char *, size_t);
+static int on_message_complete_cb(struct http_parser *);
 
 static const struct http_parser_settings parser_settings = {
-	.on_headers_complete = parser_headers,
-	.on_body = parser_body,
-	.on_message_complete = parser_whole,
+	.on_headers_complete = on_headers_complete_cb,
+	.on_body = on_body_cb,
+	.on_message_complete = on_message_complete_cb,
 };
 
 /* ---- callbacks of http-parser ---- */
 
 static int
-parser_headers(struct http_parser *p)
+on_headers_complete_cb(struct http_parser *p)
 {
 	struct http_reader *r = p->data;
 
 	r->head->keep_alive = http_should_keep_alive(p) != 0;
 	r->stage = HTTP_STAGE_BODY;
 	/* 1: no body follows, whatever the head contains. */
-	return r->to_head ? 1 : 0;
+	return r->for_head_request ? 1 : 0;
 }
 
 static int
-parser_body(struct http_parser *p, const char *bytes, size_t n)
+on_body_cb(struct http_parser *p, const char *bytes, size_t n)
 {
 	struct http_reader *r = p->data;
 
@@ -50,11 +50,11 @@
 }
 
 static int
-parser_whole(struct http_parser *p)
+on_message_complete_cb(struct http_parser *p)
 {
 	struct http_reader *r = p->data;
 
-	r->stage = HTTP_STAGE_WHOLE;
+	r->stage = HTTP_STAGE_COMPLETE;
 	http_parser_pause(p, 1);
 	return 0;
 }
@@ -98,7 +98,7 @@
 bool
 http_reader_is_idle(const struct http_reader *r)
 {
-	return r->stage == HTTP_STAGE_HEAD && buffer_left(&r->text) == 0;
+	return r->stage == HTTP_STAGE_HEAD && buffer_length(&r->text) == 0;
 }
 
 static size_t
@@ -151,13 +151,13 @@
 		return false;
 	if (r->parser.type == HTTP_RESPONSE) {
 		h->status = (unsigned int)strtoul(a + 1, NULL, 10);
-		h->old = g_str_has_prefix(line, "HTTP/1.0 ");
-		return h->old || g_str_has_prefix(line, "HTTP/1.1 ");
+		h->is_http_1_0 = g_str_has_prefix(line, "HTTP/1.0 ");
+		return h->is_http_1_0 || g_str_has_prefix(line, "HTTP/1.1 ");
 	}
 	if ((b = strchr(a + 1, ' ')) == NULL || a[1] != '/')
 		return false;
-	h->old = strcmp(b, " HTTP/1.0") == 0;
-	if (!h->old && strcmp(b, " HTTP/1.1") != 0)
+	h->is_http_1_0 = strcmp(b, " HTTP/1.0") == 0;
+	if (!h->is_http_1_0 && strcmp(b, " HTTP/1.1") != 0)
 		return false;
 	*a = *b = '\0';
 	h->method = line;
@@ -182,7 +182,7 @@
 		return false;
 	if (codings > 0) {
 		s = http_head_get(h, "Transfer-Encoding");
-		if (g_ascii_strcasecmp(s, "chunked") != 0 || h->old)
+		if (g_ascii_strcasecmp(s, "chunked") != 0 || h->is_http_1_0)
 			return false;
 		h->has_body = true;
 	}
@@ -191,15 +191,15 @@
 		if (!g_ascii_string_to_unsigned(
 			s, 10, 0, G_MAXINT64, &h->length, NULL))
 			return false;
-		h->sized = true;
+		h->has_length = true;
 		h->has_body = h->length > 0;
 	}
 	if (r->parser.type == HTTP_REQUEST)
 		return http_head_count(h, "Host") == 1 ||
-		       (h->old && http_head_count(h, "Host") == 0);
-	h->to_the_end = lengths == 0 && codings == 0 && !r->to_head &&
-			h->status >= 200 && h->status != 204 &&
-			h->status != 304;
+		       (h->is_http_1_0 && http_head_count(h, "Host") == 0);
+	h->until_close = lengths == 0 && codings == 0 && !r->for_head_request &&
+			 h->status >= 200 && h->status != 204 &&
+			 h->status != 304;
 	return true;
 }
 
@@ -234,9 +234,9 @@
 
 /* The head is complete: parse it with http-parser, then check and split it. */
 static void
-reader_head(struct http_reader *r)
+reader_finish_head(struct http_reader *r)
 {
-	size_t n = buffer_left(&r->text), took;
+	size_t n = buffer_length(&r->text), took;
 
 	r->head = g_new0(struct http_head, 1);
 	took = http_parser_execute(
@@ -253,7 +253,7 @@
 
 /* Copy up to the end of the head; a bare line feed makes it malformed. */
 static size_t
-reader_take_head(struct http_reader *r, const char *bytes, size_t n)
+reader_parse_head(struct http_reader *r, const char *bytes, size_t n)
 {
 	const char *lf;
 	size_t at = 0, step;
@@ -272,7 +272,7 @@
 			return reader_fail(r, HTTP_ERROR_MALFORMED);
 		if (r->text.len - r->line == 2) {
 			if (r->line > 0) {
-				reader_head(r);
+				reader_finish_head(r);
 				return at;
 			}
 			/* An empty line before the first one is ignored. */
@@ -284,16 +284,16 @@
 }
 
 size_t
-http_reader_take(struct http_reader *r, const char *bytes, size_t n)
+http_reader_parse(struct http_reader *r, const char *bytes, size_t n)
 {
 	size_t took;
 
 	if (r->stage == HTTP_STAGE_HEAD)
-		return reader_take_head(r, bytes, n);
+		return reader_parse_head(r, bytes, n);
 	if (r->stage != HTTP_STAGE_BODY || n == 0)
 		return 0;
 	took = http_parser_execute(&r->parser, &parser_settings, bytes, n);
-	if (r->stage == HTTP_STAGE_WHOLE)
+	if (r->stage == HTTP_STAGE_COMPLETE)
 		return took;
 	if (HTTP_PARSER_ERRNO(&r->parser) != HPE_OK)
 		reader_fail(r, HTTP_ERROR_MALFORMED);
@@ -303,12 +303,12 @@
 void
 http_reader_close(struct http_reader *r)
 {
-	if (r->stage == HTTP_STAGE_WHOLE || r->stage == HTTP_STAGE_FAILED)
+	if (r->stage == HTTP_STAGE_COMPLETE || r->stage == HTTP_STAGE_FAILED)
 		return;
 	if (r->stage == HTTP_STAGE_BODY)
 		http_parser_execute(&r->parser, &parser_settings, NULL, 0);
-	if (r->stage != HTTP_STAGE_WHOLE)
-		reader_fail(r, HTTP_ERROR_CUT);
+	if (r->stage != HTTP_STAGE_COMPLETE)
+		reader_fail(r, HTTP_ERROR_TRUNCATED);
 }
 
 /* ---- access to a head ---- */
@@ -367,7 +367,7 @@
 }
 
 bool
-http_field_is_hop(const struct http_head *h, const char *name)
+http_field_is_hop_by_hop(const struct http_head *h, const char *name)
 {
 	static const char *const hops[] = { "Connection", "Keep-Alive",
 		"Proxy-Connection", "Proxy-Authenticate", "Proxy-Authorization",
--- a/http-message.h
+++ b/http-message.h
@@ -28,11 +28,11 @@
 	const char *method; /* requests */
 	const char *target;
 	unsigned int status; /* responses */
-	bool old;	     /* HTTP/1.0 */
+	bool is_http_1_0;    /* HTTP/1.0 */
 	bool keep_alive;     /* the connection persists after it */
 	bool has_body;	     /* a length above 0, or chunked */
-	bool sized;	     /* the head has a Content-Length */
-	bool to_the_end;     /* the body ends when the connection closes */
+	bool has_length;     /* the head has a Content-Length */
+	bool until_close;    /* the body ends when the connection closes */
 	uint64_t length;     /* of the body, if sized */
 	unsigned int nfields;
 	struct http_field fields[HTTP_FIELDS_MAX];
@@ -42,8 +42,8 @@
 enum http_stage {
 	HTTP_STAGE_HEAD,
 	HTTP_STAGE_BODY,
-	HTTP_STAGE_WHOLE, /* complete according to its framing */
-	HTTP_STAGE_FAILED /* see http_reader.error */
+	HTTP_STAGE_COMPLETE, /* complete according to its framing */
+	HTTP_STAGE_FAILED    /* see http_reader.error */
 };
 
 /* Why parsing failed. */
@@ -52,7 +52,7 @@
 	HTTP_ERROR_MALFORMED,
 	HTTP_ERROR_HEAD_TOO_LARGE,
 	HTTP_ERROR_BODY_TOO_LARGE,
-	HTTP_ERROR_CUT /* the connection closed within the message */
+	HTTP_ERROR_TRUNCATED /* the connection closed within the message */
 };
 
 struct http_reader;
@@ -69,8 +69,8 @@
 	struct http_head *head; /* from HTTP_STAGE_BODY on */
 	size_t head_max;
 	uint64_t body_max;
-	uint64_t body_len; /* passed to body() so far */
-	bool to_head;	   /* the response to a HEAD request: no body */
+	uint64_t body_len;     /* passed to body() so far */
+	bool for_head_request; /* the response to a HEAD request: no body */
 	/* Private from here. */
 	struct http_parser parser;
 	struct buffer text;
@@ -87,10 +87,10 @@
  * Parse bytes; returns how many were consumed. Stops after the head and after
  * the message, so that the caller can examine them before it continues.
  */
-size_t http_reader_take(struct http_reader *, const char *, size_t);
+size_t http_reader_parse(struct http_reader *, const char *, size_t);
 /*
  * Call when the peer has closed the connection in an orderly way; the stage is
- * HTTP_STAGE_WHOLE or HTTP_STAGE_FAILED afterwards.
+ * HTTP_STAGE_COMPLETE or HTTP_STAGE_FAILED afterwards.
  */
 void http_reader_close(struct http_reader *);
 /* True while no byte of the next message has been received. */
@@ -105,7 +105,7 @@
 /* True if a comma-separated field contains the token, ignoring case. */
 bool http_head_has_token(const struct http_head *, const char *, const char *);
 /* True for hop-by-hop fields: by their name, or listed in Connection. */
-bool http_field_is_hop(const struct http_head *, const char *);
+bool http_field_is_hop_by_hop(const struct http_head *, const char *);
 /* The reason phrase of a status. */
 const char *http_status_text(unsigned int);
 
--- a/log-client.c
+++ b/log-client.c
@@ -9,8 +9,8 @@
 #include <string.h>
 
 #define ATTEMPT_TIMEOUT (5 * MSEC_SECOND)
-#define BACKOFF_FIRST ((msec)50)
-#define BACKOFF_MOST ((msec)1000)
+#define BACKOFF_MIN ((msec)50)
+#define BACKOFF_MAX ((msec)1000)
 
 static bool entry_has_id(const struct log_entry *, const char *);
 static void backoff_wait(msec *, msec);
@@ -23,7 +23,7 @@
 	uint64_t offset;
 
 	log_http_append(&h, base, stream, text, timeout);
-	offset = log_http_appended(&h, curl_easy_perform(h.easy), error);
+	offset = log_http_append_result(&h, curl_easy_perform(h.easy), error);
 	log_http_finish(&h);
 	return offset;
 }
@@ -36,7 +36,7 @@
 	bool ok;
 
 	log_http_read(&h, base, stream, from, LOG_READ_MAX, wait, timeout);
-	ok = log_http_page(&h, curl_easy_perform(h.easy), page, error);
+	ok = log_http_read_result(&h, curl_easy_perform(h.easy), page, error);
 	log_http_finish(&h);
 	return ok;
 }
@@ -95,7 +95,7 @@
 
 	if (left > 0)
 		g_usleep((gulong)MIN(wait, left) * 1000);
-	*backoff = MIN(*backoff * 2, BACKOFF_MOST);
+	*backoff = MIN(*backoff * 2, BACKOFF_MAX);
 }
 
 /*
@@ -110,7 +110,7 @@
 log_append_id(const char *base, const char *stream, const char *text,
     const char *id, uint64_t from, msec timeout, GError **error)
 {
-	msec until = msec_now() + timeout, backoff = BACKOFF_FIRST;
+	msec until = msec_now() + timeout, backoff = BACKOFF_MIN;
 	bool unknown = false;
 	uint64_t offset, first;
 	GError *e = NULL;
--- a/log-http.c
+++ b/log-http.c
@@ -14,7 +14,7 @@
 
 static size_t http_write(char *, size_t, size_t, void *);
 static void http_prepare(struct log_http *, msec);
-static bool http_check(struct log_http *, CURLcode, GError **);
+static bool http_check_response(struct log_http *, CURLcode, GError **);
 static bool page_entry_decode(struct log_entry *, const json_t *);
 
 void
@@ -33,9 +33,9 @@
 {
 	struct log_http *h = arg;
 
-	if (h->answer->len + size * n > LOG_ANSWER_BYTES_MAX)
+	if (h->response->len + size * n > LOG_RESPONSE_BYTES_MAX)
 		return 0;
-	g_string_append_len(h->answer, data, (gssize)(size * n));
+	g_string_append_len(h->response, data, (gssize)(size * n));
 	return size * n;
 }
 
@@ -46,7 +46,7 @@
 	h->easy = curl_easy_init();
 	if (h->easy == NULL)
 		g_error("out of memory for a request to the log service");
-	h->answer = g_string_new(NULL);
+	h->response = g_string_new(NULL);
 	h->headers = NULL;
 	h->error[0] = '\0';
 	curl_easy_setopt(h->easy, CURLOPT_URL, h->url);
@@ -95,7 +95,7 @@
  * or a timeout, and the append may have taken effect.
  */
 static bool
-http_check(struct log_http *h, CURLcode rc, GError **error)
+http_check_response(struct log_http *h, CURLcode rc, GError **error)
 {
 	long status = 0, sent = 0;
 
@@ -123,14 +123,14 @@
 }
 
 uint64_t
-log_http_appended(struct log_http *h, CURLcode rc, GError **error)
+log_http_append_result(struct log_http *h, CURLcode rc, GError **error)
 {
 	json_t *o;
 	json_int_t offset;
 
-	if (!http_check(h, rc, error))
+	if (!http_check_response(h, rc, error))
 		return 0;
-	o = json_loadb(h->answer->str, h->answer->len, 0, NULL);
+	o = json_loadb(h->response->str, h->response->len, 0, NULL);
 	offset = json_integer_value(json_object_get(o, "offset"));
 	json_decref(o);
 	if (offset > 0)
@@ -141,13 +141,13 @@
 }
 
 bool
-log_http_page(
+log_http_read_result(
     struct log_http *h, CURLcode rc, struct log_page *page, GError **error)
 {
 	*page = (struct log_page){ 0 };
-	if (!http_check(h, rc, error))
+	if (!http_check_response(h, rc, error))
 		return false;
-	if (log_page_decode(page, h->answer->str, h->answer->len))
+	if (log_page_decode(page, h->response->str, h->response->len))
 		return true;
 	g_set_error(error, SAVORY_ERROR, SAVORY_ERROR_UNKNOWN,
 	    "%s: the response is not a page of records", h->url);
@@ -168,7 +168,7 @@
 {
 	curl_easy_cleanup(h->easy);
 	curl_slist_free_all(h->headers);
-	g_string_free(h->answer, TRUE);
+	g_string_free(h->response, TRUE);
 	g_free(h->url);
 	*h = (struct log_http){ 0 };
 }
--- a/log-http.h
+++ b/log-http.h
@@ -14,12 +14,12 @@
 /* Records requested by one read, at most. */
 #define LOG_READ_MAX 32
 /* A longer response fails the read, so that none exhausts memory. */
-#define LOG_ANSWER_BYTES_MAX (64 * 1024 * 1024)
+#define LOG_RESPONSE_BYTES_MAX (64 * 1024 * 1024)
 
 struct log_http {
 	CURL *easy;
 	struct curl_slist *headers;
-	GString *answer;
+	GString *response;
 	char *url;
 	char error[CURL_ERROR_SIZE];
 };
@@ -39,9 +39,10 @@
 void log_http_read(struct log_http *, const char *, const char *, uint64_t,
     unsigned int, msec, msec);
 /* The result of an append: its offset, or 0 and an error as of log_append(). */
-uint64_t log_http_appended(struct log_http *, CURLcode, GError **);
+uint64_t log_http_append_result(struct log_http *, CURLcode, GError **);
 /* The result of a read; false and an error if it failed. */
-bool log_http_page(struct log_http *, CURLcode, struct log_page *, GError **);
+bool
+log_http_read_result(struct log_http *, CURLcode, struct log_page *, GError **);
 /* The response's Retry-After in milliseconds, or 0. */
 msec log_http_retry_after(const struct log_http *);
 void log_http_finish(struct log_http *);
--- a/log-io.c
+++ b/log-io.c
@@ -17,9 +17,9 @@
 #define APPENDS_MAX 8
 #define POLL_WAIT (4 * MSEC_SECOND)
 #define POLL_TIMEOUT (POLL_WAIT + 3 * MSEC_SECOND)
-#define EXCHANGE_TIMEOUT (5 * MSEC_SECOND)
-#define BACKOFF_FIRST ((msec)50)
-#define BACKOFF_MOST (2 * MSEC_SECOND)
+#define REQUEST_TIMEOUT (5 * MSEC_SECOND)
+#define BACKOFF_MIN ((msec)50)
+#define BACKOFF_MAX (2 * MSEC_SECOND)
 /* The service counts as down after so many consecutive failures. */
 #define DOWN_AFTER 3
 #define EVENT_RETRY ((msec)5)
@@ -44,7 +44,7 @@
 	OP_WAITING, /* for not_before, rate budget or a free append */
 	OP_READING, /* a page of a followed stream */
 	OP_APPENDING,
-	OP_LOOKING /* reading back to find the id */
+	OP_READING_BACK /* reading back to find the id */
 };
 
 /* A followed stream, or an append whose outcome is not known yet. */
@@ -52,12 +52,12 @@
 	TAILQ_ENTRY(op) entry;
 	bool is_append;
 	enum op_state state;
-	bool look_next; /* read back before the next append */
-	bool unknown;	/* an earlier attempt may have been appended */
+	bool read_back_next; /* read back before the next append */
+	bool unknown;	     /* an earlier attempt may have been appended */
 	char stream[NAME_SIZE];
-	uint64_t from;	   /* next offset to read */
-	uint64_t look;	   /* next offset to read back */
-	unsigned int most; /* records requested by the next read */
+	uint64_t from;		 /* next offset to read */
+	uint64_t read_back_from; /* next offset to read back */
+	unsigned int most;	 /* records requested by the next read */
 	char *text;
 	char id[LOG_ID_SIZE];
 	uint64_t cookie;
@@ -71,11 +71,11 @@
 TAILQ_HEAD(op_list, op);
 
 /* An event that waits because the ring is full. */
-struct late_event {
-	STAILQ_ENTRY(late_event) entry;
+struct pending_event {
+	STAILQ_ENTRY(pending_event) entry;
 	struct log_event *event;
 };
-STAILQ_HEAD(late_list, late_event);
+STAILQ_HEAD(pending_list, pending_event);
 
 struct log_io {
 	char *base;
@@ -90,33 +90,34 @@
 	unsigned int nappends; /* append requests in progress */
 	unsigned int rate;     /* appends per second */
 	double tokens;
-	msec filled_at;
-	msec refused_until;
+	msec tokens_at;
+	msec no_append_until;
 	unsigned int failures;
 	bool down;
-	struct late_list late;
+	struct pending_list pending;
 };
 
 static void *io_main(void *);
 static void io_command(struct log_io *, struct command *);
-static void io_step(struct log_io *, msec);
+static void io_start_ops(struct log_io *, msec);
 static void io_complete(struct log_io *, CURLMsg *);
 static msec io_wait(const struct log_io *, msec);
 static void io_emit(struct log_io *, struct log_event *);
 static void io_flush(struct log_io *);
-static void io_heard(struct log_io *, const GError *);
-static bool budget_take(struct log_io *, msec);
+static void io_track_health(struct log_io *, const GError *);
+static bool append_rate_take(struct log_io *, msec);
 static struct log_event *event_new(enum log_event_kind, const struct op *);
 static struct op *follow_find(const struct log_io *, const char *);
 static void op_new(struct log_io *, const struct command *, uint64_t);
 static void op_free(struct log_io *, struct op *);
 static void op_start(struct log_io *, struct op *, msec);
 static void op_backoff(struct op *, msec, msec);
-static void op_end(struct log_io *, struct op *, enum log_event_kind, uint64_t);
-static void op_give_up(struct log_io *, struct op *);
+static void
+op_finish(struct log_io *, struct op *, enum log_event_kind, uint64_t);
+static void op_time_out(struct log_io *, struct op *);
 static void op_read_done(struct log_io *, struct op *, CURLcode, msec);
 static void op_append_done(struct log_io *, struct op *, CURLcode, msec);
-static void op_look_done(struct log_io *, struct op *, CURLcode, msec);
+static void op_read_back_done(struct log_io *, struct op *, CURLcode, msec);
 
 struct log_io *
 log_io_start(const char *base, struct ring *events, unsigned int rate)
@@ -128,9 +129,9 @@
 	io->events = events;
 	io->rate = MAX(rate, 1);
 	io->tokens = io->rate;
-	io->filled_at = msec_now();
+	io->tokens_at = msec_now();
 	TAILQ_INIT(&io->ops);
-	STAILQ_INIT(&io->late);
+	STAILQ_INIT(&io->pending);
 	io->multi = curl_multi_init();
 	if (io->multi == NULL || !ring_init(&io->commands, COMMANDS_MAX))
 		g_error("out of memory for the log thread");
@@ -142,7 +143,7 @@
 void
 log_io_stop(struct log_io *io)
 {
-	struct late_event *late;
+	struct pending_event *pending;
 	struct command *c;
 	struct op *op;
 
@@ -155,10 +156,10 @@
 		g_free(c->text);
 		g_free(c);
 	}
-	while ((late = STAILQ_FIRST(&io->late)) != NULL) {
-		STAILQ_REMOVE_HEAD(&io->late, entry);
-		log_event_free(late->event);
-		g_free(late);
+	while ((pending = STAILQ_FIRST(&io->pending)) != NULL) {
+		STAILQ_REMOVE_HEAD(&io->pending, entry);
+		log_event_free(pending->event);
+		g_free(pending);
 	}
 	curl_multi_cleanup(io->multi);
 	ring_finish(&io->commands);
@@ -241,7 +242,7 @@
 			io_command(io, c);
 		now = msec_now();
 		io_flush(io);
-		io_step(io, now);
+		io_start_ops(io, now);
 		curl_multi_perform(io->multi, &running);
 		while ((msg = curl_multi_info_read(io->multi, &left)) != NULL)
 			io_complete(io, msg);
@@ -280,7 +281,7 @@
 
 /* Start every waiting operation that may start now, oldest first. */
 static void
-io_step(struct log_io *io, msec now)
+io_start_ops(struct log_io *io, msec now)
 {
 	struct op *op, *next;
 
@@ -288,13 +289,13 @@
 		if (op->state != OP_WAITING)
 			continue;
 		if (op->is_append && now >= op->until) {
-			op_give_up(io, op);
+			op_time_out(io, op);
 			continue;
 		}
 		if (now < op->not_before)
 			continue;
 		/* Read no more pages while the event ring is full. */
-		if (!op->is_append && !STAILQ_EMPTY(&io->late))
+		if (!op->is_append && !STAILQ_EMPTY(&io->pending))
 			continue;
 		op_start(io, op, now);
 	}
@@ -306,7 +307,7 @@
 	const struct op *op;
 	msec until = now + MSEC_SECOND;
 
-	if (!STAILQ_EMPTY(&io->late))
+	if (!STAILQ_EMPTY(&io->pending))
 		until = now + EVENT_RETRY;
 	TAILQ_FOREACH (op, &io->ops, entry) {
 		/* The analyzer doesn't follow the links in TAILQ_REMOVE. */
@@ -315,7 +316,7 @@
 			continue;
 		if (op->not_before > now)
 			until = MIN(until, op->not_before);
-		else if (op->is_append || !STAILQ_EMPTY(&io->late))
+		else if (op->is_append || !STAILQ_EMPTY(&io->pending))
 			until = MIN(until, now + EVENT_RETRY);
 		else
 			/* A page has just arrived: read the next at once. */
@@ -340,7 +341,7 @@
 	else if (op->state == OP_APPENDING)
 		op_append_done(io, op, rc, now);
 	else
-		op_look_done(io, op, rc, now);
+		op_read_back_done(io, op, rc, now);
 }
 
 /*
@@ -352,31 +353,31 @@
 static void
 io_emit(struct log_io *io, struct log_event *e)
 {
-	struct late_event *late;
+	struct pending_event *pending;
 
-	if (STAILQ_EMPTY(&io->late) && ring_put(io->events, e))
+	if (STAILQ_EMPTY(&io->pending) && ring_put(io->events, e))
 		return;
-	late = g_new0(struct late_event, 1);
-	late->event = e;
-	STAILQ_INSERT_TAIL(&io->late, late, entry);
+	pending = g_new0(struct pending_event, 1);
+	pending->event = e;
+	STAILQ_INSERT_TAIL(&io->pending, pending, entry);
 }
 
 static void
 io_flush(struct log_io *io)
 {
-	struct late_event *late;
+	struct pending_event *pending;
 
-	while ((late = STAILQ_FIRST(&io->late)) != NULL) {
-		if (!ring_put(io->events, late->event))
+	while ((pending = STAILQ_FIRST(&io->pending)) != NULL) {
+		if (!ring_put(io->events, pending->event))
 			return;
-		STAILQ_REMOVE_HEAD(&io->late, entry);
-		g_free(late);
+		STAILQ_REMOVE_HEAD(&io->pending, entry);
+		g_free(pending);
 	}
 }
 
 /* Track whether the service responds; a refusal counts as a response. */
 static void
-io_heard(struct log_io *io, const GError *e)
+io_track_health(struct log_io *io, const GError *e)
 {
 	bool good = e == NULL || e->code == SAVORY_ERROR_REFUSED;
 
@@ -395,15 +396,15 @@
 
 /* Take a token from this node's share of the service's append rate. */
 static bool
-budget_take(struct log_io *io, msec now)
+append_rate_take(struct log_io *io, msec now)
 {
 	double most = io->rate;
 
-	if (now < io->refused_until)
+	if (now < io->no_append_until)
 		return false;
-	io->tokens += (double)(now - io->filled_at) * io->rate / MSEC_SECOND;
+	io->tokens += (double)(now - io->tokens_at) * io->rate / MSEC_SECOND;
 	io->tokens = MIN(io->tokens, most);
-	io->filled_at = now;
+	io->tokens_at = now;
 	if (io->tokens < 1)
 		return false;
 	io->tokens -= 1;
@@ -434,9 +435,9 @@
 
 	op->is_append = c->kind == COMMAND_APPEND;
 	g_strlcpy(op->stream, c->stream, sizeof op->stream);
-	op->from = op->look = MAX(from, 1);
+	op->from = op->read_back_from = MAX(from, 1);
 	op->most = LOG_READ_MAX;
-	op->backoff = BACKOFF_FIRST;
+	op->backoff = BACKOFF_MIN;
 	op->text = g_strdup(c->text);
 	memcpy(op->id, c->id, sizeof op->id);
 	op->until = c->until;
@@ -461,7 +462,7 @@
 static void
 op_start(struct log_io *io, struct op *op, msec now)
 {
-	msec left = MIN(op->until - now, EXCHANGE_TIMEOUT);
+	msec left = MIN(op->until - now, REQUEST_TIMEOUT);
 
 	if (!op->is_append) {
 		log_http_read(&op->http, io->base, op->stream, op->from,
@@ -469,13 +470,13 @@
 		op->state = OP_READING;
 	} else if (io->nappends >= APPENDS_MAX) {
 		return;
-	} else if (op->look_next) {
-		log_http_read(&op->http, io->base, op->stream, op->look,
-		    op->most, 0, left);
-		op->state = OP_LOOKING;
+	} else if (op->read_back_next) {
+		log_http_read(&op->http, io->base, op->stream,
+		    op->read_back_from, op->most, 0, left);
+		op->state = OP_READING_BACK;
 		io->nappends++;
 	} else {
-		if (!budget_take(io, now))
+		if (!append_rate_take(io, now))
 			return;
 		log_http_append(
 		    &op->http, io->base, op->stream, op->text, left);
@@ -496,11 +497,11 @@
 
 	op->not_before =
 	    now + MAX(half + g_random_int_range(0, (gint32)half + 1), least);
-	op->backoff = MIN(op->backoff * 2, BACKOFF_MOST);
+	op->backoff = MIN(op->backoff * 2, BACKOFF_MAX);
 }
 
 static void
-op_end(
+op_finish(
     struct log_io *io, struct op *op, enum log_event_kind kind, uint64_t offset)
 {
 	struct log_event *e = event_new(kind, op);
@@ -512,15 +513,15 @@
 
 /* End a timed-out append; report success or failure only if certain. */
 static void
-op_give_up(struct log_io *io, struct op *op)
+op_time_out(struct log_io *io, struct op *op)
 {
 	if (op->appended != 0) {
-		op_end(io, op, LOG_EVENT_APPENDED, op->appended);
+		op_finish(io, op, LOG_EVENT_APPENDED, op->appended);
 		return;
 	}
 	log_debug("append to %s timed out, %s", op->stream,
 	    op->unknown ? "outcome unknown" : "nothing appended");
-	op_end(io, op,
+	op_finish(io, op,
 	    op->unknown ? LOG_EVENT_APPEND_UNKNOWN : LOG_EVENT_APPEND_FAILED,
 	    0);
 }
@@ -530,12 +531,12 @@
 {
 	struct log_event *e = event_new(LOG_EVENT_PAGE, op);
 	GError *error = NULL;
-	bool ok = log_http_page(&op->http, rc, &e->page, &error);
+	bool ok = log_http_read_result(&op->http, rc, &e->page, &error);
 
 	e->from = op->from;
 	log_http_finish(&op->http);
 	op->state = OP_WAITING;
-	io_heard(io, error);
+	io_track_health(io, error);
 	if (!ok) {
 		log_debug("reading %s failed: %s", op->stream, error->message);
 		/* Long records may exceed a response: request one only. */
@@ -547,7 +548,7 @@
 		return;
 	}
 	op->most = LOG_READ_MAX;
-	op->backoff = BACKOFF_FIRST;
+	op->backoff = BACKOFF_MIN;
 	op->from = MAX(op->from, e->page.first);
 	if (e->page.nentries > 0)
 		op->from = e->page.entries[e->page.nentries - 1].offset + 1;
@@ -558,29 +559,29 @@
 op_append_done(struct log_io *io, struct op *op, CURLcode rc, msec now)
 {
 	GError *error = NULL;
-	uint64_t offset = log_http_appended(&op->http, rc, &error);
+	uint64_t offset = log_http_append_result(&op->http, rc, &error);
 	msec wait = log_http_retry_after(&op->http);
 
 	log_http_finish(&op->http);
 	op->state = OP_WAITING;
 	io->nappends--;
-	io_heard(io, error);
+	io_track_health(io, error);
 	if (offset != 0 && !op->unknown) {
-		op_end(io, op, LOG_EVENT_APPENDED, offset);
+		op_finish(io, op, LOG_EVENT_APPENDED, offset);
 		return;
 	}
 	if (offset != 0) {
 		/* An earlier attempt may have a lower offset. */
 		op->appended = offset;
-		op->look_next = true;
+		op->read_back_next = true;
 		return;
 	}
 	log_debug("append to %s failed: %s", op->stream, error->message);
 	if (error->code == SAVORY_ERROR_REFUSED && wait > 0)
-		io->refused_until = now + wait;
+		io->no_append_until = now + wait;
 	if (error->code == SAVORY_ERROR_UNKNOWN) {
 		op->unknown = true;
-		op->look_next = true;
+		op->read_back_next = true;
 	}
 	g_error_free(error);
 	op_backoff(op, now, 0);
@@ -594,7 +595,7 @@
  * this is harmless, as folds ignore ids that they have processed.
  */
 static void
-op_look_done(struct log_io *io, struct op *op, CURLcode rc, msec now)
+op_read_back_done(struct log_io *io, struct op *op, CURLcode rc, msec now)
 {
 	struct log_page page;
 	GError *error = NULL;
@@ -602,9 +603,9 @@
 
 	io->nappends--;
 	op->state = OP_WAITING;
-	if (!log_http_page(&op->http, rc, &page, &error)) {
+	if (!log_http_read_result(&op->http, rc, &page, &error)) {
 		log_http_finish(&op->http);
-		io_heard(io, error);
+		io_track_health(io, error);
 		if (rc == CURLE_WRITE_ERROR)
 			op->most = 1;
 		g_error_free(error);
@@ -612,18 +613,18 @@
 		return;
 	}
 	log_http_finish(&op->http);
-	io_heard(io, NULL);
+	io_track_health(io, NULL);
 	op->most = LOG_READ_MAX;
 	offset = log_page_find(&page, op->id);
 	if (page.nentries > 0)
-		op->look = page.entries[page.nentries - 1].offset + 1;
-	if (page.nentries == 0 || op->look >= page.next) {
-		op->look_next = false;
-		op->look = op->from;
+		op->read_back_from = page.entries[page.nentries - 1].offset + 1;
+	if (page.nentries == 0 || op->read_back_from >= page.next) {
+		op->read_back_next = false;
+		op->read_back_from = op->from;
 	}
 	log_page_finish(&page);
 	if (offset != 0)
-		op_end(io, op, LOG_EVENT_APPENDED, offset);
-	else if (!op->look_next && op->appended != 0)
-		op_end(io, op, LOG_EVENT_APPENDED, op->appended);
+		op_finish(io, op, LOG_EVENT_APPENDED, offset);
+	else if (!op->read_back_next && op->appended != 0)
+		op_finish(io, op, LOG_EVENT_APPENDED, op->appended);
 }
--- a/loop.c
+++ b/loop.c
@@ -113,14 +113,14 @@
 {
 	struct loop_timer *t = RB_MIN(loop_timers, &l->timers);
 
-	l->waiting = msec_now();
+	l->wait_start = msec_now();
 	if (t == NULL)
 		return LOOP_IDLE_MS;
-	return (int)CLAMP(t->due - l->waiting, 0, LOOP_IDLE_MS);
+	return (int)CLAMP(t->due - l->wait_start, 0, LOOP_IDLE_MS);
 }
 
 static void
-loop_fire(struct loop *l)
+loop_fire_timers(struct loop *l)
 {
 	struct loop_timer *t;
 
@@ -138,9 +138,9 @@
 	struct loop_io *io;
 	int i, n;
 
-	l->waiting = msec_now();
+	l->wait_start = msec_now();
 	while (!l->stopping) {
-		l->before = l->waiting;
+		l->previous_wait_start = l->wait_start;
 		/*
 		 * Retry after a signal, without firing timers: a process that
 		 * is stopped and continued is interrupted here, and timeouts
@@ -158,8 +158,8 @@
 				io->ready(io, events[i].events);
 		}
 		batch_len = 0;
-		loop_fire(l);
-		if (l->turn != NULL)
-			l->turn(l, l->now);
+		loop_fire_timers(l);
+		if (l->iteration_done != NULL)
+			l->iteration_done(l, l->now);
 	}
 }
--- a/loop.h
+++ b/loop.h
@@ -35,7 +35,7 @@
 	struct loop_timers timers;
 	bool stopping;
 	/* Called at the end of each iteration; may be NULL. */
-	void (*turn)(struct loop *, msec);
+	void (*iteration_done)(struct loop *, msec);
 	void *arg;
 	msec now; /* when this iteration's wait returned */
 	/*
@@ -44,8 +44,8 @@
 	 * since a VM may be paused between the end of a wait and the reading of
 	 * the clock.
 	 */
-	msec before;
-	msec waiting; /* when this iteration's wait started */
+	msec previous_wait_start;
+	msec wait_start; /* when this iteration's wait started */
 };
 
 bool loop_init(struct loop *);
--- a/net-codec.c
+++ b/net-codec.c
@@ -23,10 +23,10 @@
 #include <string.h>
 
 /* Behind xid, direction, versions, procedure, credential, flavour, length. */
-#define NET_MAC_AT 40
-#define NET_BODY_AT (NET_MAC_AT + MAC_SIZE)
+#define NET_MAC_OFFSET 40
+#define NET_BODY_OFFSET (NET_MAC_OFFSET + MAC_SIZE)
 /* Behind the sender's id and incarnation. */
-#define NET_COUNT_AT (NET_BODY_AT + 16)
+#define NET_COUNT_OFFSET (NET_BODY_OFFSET + 16)
 /* A private authentication flavour; registered ones are small numbers. */
 #define NET_FLAVOUR 0x53415648
 
@@ -37,8 +37,8 @@
 static void
 net_mac(const char *key, const char *data, size_t len, uint8_t *out)
 {
-	const struct mac_part parts[] = { { data, NET_MAC_AT },
-		{ data + NET_BODY_AT, len - NET_BODY_AT } };
+	const struct mac_part parts[] = { { data, NET_MAC_OFFSET },
+		{ data + NET_BODY_OFFSET, len - NET_BODY_OFFSET } };
 
 	mac_sum(key, parts, G_N_ELEMENTS(parts), out);
 }
@@ -124,9 +124,9 @@
 	uint32_t count = g_htonl(f->count);
 	uint8_t mac[MAC_SIZE];
 
-	memcpy(f->data + NET_COUNT_AT, &count, sizeof count);
+	memcpy(f->data + NET_COUNT_OFFSET, &count, sizeof count);
 	net_mac(key, f->data, f->used, mac);
-	memcpy(f->data + NET_MAC_AT, mac, sizeof mac);
+	memcpy(f->data + NET_MAC_OFFSET, mac, sizeof mac);
 	return f->used;
 }
 
@@ -157,10 +157,10 @@
 	bool ok;
 
 	memset(batch, 0, sizeof *batch);
-	if (len <= NET_COUNT_AT || len > NET_DATAGRAM_MAX || len % 4 != 0)
+	if (len <= NET_COUNT_OFFSET || len > NET_DATAGRAM_MAX || len % 4 != 0)
 		return false;
 	net_mac(key, buf, len, mac);
-	if (!mac_equal(mac, (const uint8_t *)buf + NET_MAC_AT))
+	if (!mac_equal(mac, (const uint8_t *)buf + NET_MAC_OFFSET))
 		return false;
 	/* XDR_DECODE does not write to the buffer, so the cast is safe. */
 	xdrmem_create(&xdrs, (char *)buf, (u_int)len, XDR_DECODE);
--- a/net.c
+++ b/net.c
@@ -44,7 +44,7 @@
 static bool net_open(struct net *, uint32_t, uint16_t);
 static void net_send_frame(struct net *, struct net_peer *);
 static void
-net_take(struct net *, const struct sockaddr_in *, const char *, size_t);
+net_receive(struct net *, const struct sockaddr_in *, const char *, size_t);
 
 RB_PROTOTYPE(net_peer_tree, net_peer, entry, net_peer_compare)
 RB_GENERATE(net_peer_tree, net_peer, entry, net_peer_compare)
@@ -215,7 +215,7 @@
 }
 
 static void
-net_take(
+net_receive(
     struct net *n, const struct sockaddr_in *sin, const char *buf, size_t len)
 {
 	sp_batch batch;
@@ -251,6 +251,6 @@
 			return;
 		n->counters.datagrams_in++;
 		n->counters.bytes_in += (uint64_t)len;
-		net_take(n, &sin, buf, (size_t)len);
+		net_receive(n, &sin, buf, (size_t)len);
 	}
 }
--- a/sse.c
+++ b/sse.c
@@ -12,7 +12,7 @@
 #define SSE_DONE "[DONE]"
 
 static const char *sse_event_end(const char *, const char *);
-static bool sse_keep(struct sse *, const char *, size_t);
+static bool sse_append(struct sse *, const char *, size_t);
 
 void
 sse_init(struct sse *s)
@@ -45,7 +45,7 @@
 
 /* Classify a complete event: a token, the end of the stream, or a comment. */
 static void
-sse_count(struct sse *s, const char *p, size_t n, unsigned int *tokens)
+sse_classify(struct sse *s, const char *p, size_t n, unsigned int *tokens)
 {
 	const size_t skip = strlen(SSE_DATA);
 
@@ -67,14 +67,14 @@
 }
 
 static bool
-sse_keep(struct sse *s, const char *p, size_t n)
+sse_append(struct sse *s, const char *p, size_t n)
 {
 	size_t size;
 
 	if (n == 0)
 		return true;
 	if (s->rest_len + n > SSE_EVENT_MAX) {
-		s->bad = true;
+		s->malformed = true;
 		return false;
 	}
 	if (s->rest_len + n > s->rest_size) {
@@ -89,14 +89,14 @@
 
 /* Report all complete events at p; returns the bytes consumed. */
 static size_t
-sse_pass(struct sse *s, const char *p, size_t n,
+sse_emit_events(struct sse *s, const char *p, size_t n,
     void (*event)(void *, const char *, size_t, unsigned int), void *arg)
 {
 	const char *at = p, *end = p + n, *next;
 	unsigned int tokens = 0;
 
 	while (!s->done && (next = sse_event_end(at, end)) != NULL) {
-		sse_count(s, at, (size_t)(next - at), &tokens);
+		sse_classify(s, at, (size_t)(next - at), &tokens);
 		at = next;
 	}
 	if (at != p)
@@ -110,19 +110,19 @@
 {
 	size_t used;
 
-	if (s->bad)
+	if (s->malformed)
 		return false;
 	if (s->done)
 		return true;
 	if (s->rest_len == 0) {
-		used = sse_pass(s, p, n, event, arg);
+		used = sse_emit_events(s, p, n, event, arg);
 		if (s->done)
 			return true;
-		return sse_keep(s, p + used, n - used);
+		return sse_append(s, p + used, n - used);
 	}
-	if (!sse_keep(s, p, n))
+	if (!sse_append(s, p, n))
 		return false;
-	used = sse_pass(s, s->rest, s->rest_len, event, arg);
+	used = sse_emit_events(s, s->rest, s->rest_len, event, arg);
 	s->rest_len -= used;
 	memmove(s->rest, s->rest + used, s->rest_len);
 	return true;
--- a/sse.h
+++ b/sse.h
@@ -19,7 +19,7 @@
 	size_t rest_size;
 	unsigned int tokens; /* complete events with data, except [DONE] */
 	bool done;	     /* [DONE] has been received */
-	bool bad;	     /* malformed: the attempt has failed */
+	bool malformed;	     /* malformed: the attempt has failed */
 };
 
 /* Initialise the state of a new stream; free its memory. */
--- a/tests/test-duration.c
+++ b/tests/test-duration.c
@@ -14,14 +14,14 @@
 	struct duration d = { 0 };
 	unsigned int i;
 
-	g_assert_cmpint(duration_most(&d, MOST), ==, MOST);
+	g_assert_cmpint(duration_upper_estimate(&d, MOST), ==, MOST);
 	for (i = 0; i < 7; i++)
-		duration_learn(&d, 10);
-	g_assert_cmpint(duration_most(&d, MOST), ==, MOST);
-	g_assert_cmpint(duration_usual(&d, 0), ==, 0);
-	duration_learn(&d, 10);
-	g_assert_cmpint(duration_most(&d, MOST), <, MOST);
-	g_assert_cmpint(duration_usual(&d, 0), ==, 10);
+		duration_add(&d, 10);
+	g_assert_cmpint(duration_upper_estimate(&d, MOST), ==, MOST);
+	g_assert_cmpint(duration_mean(&d, 0), ==, 0);
+	duration_add(&d, 10);
+	g_assert_cmpint(duration_upper_estimate(&d, MOST), <, MOST);
+	g_assert_cmpint(duration_mean(&d, 0), ==, 10);
 }
 
 /*
@@ -40,9 +40,9 @@
 	for (i = 0; i < 20000; i++) {
 		u = g_rand_double_range(r, 0.0001, 1);
 		took = (msec)(400 * (1 / (0.25 + u)) + 3000 * u * u * u * u);
-		if (i >= 100 && took > duration_most(&d, MOST))
+		if (i >= 100 && took > duration_upper_estimate(&d, MOST))
 			longer++;
-		duration_learn(&d, took);
+		duration_add(&d, took);
 	}
 	g_assert_cmpuint(longer, <, 20000 * 4 / 100);
 }
@@ -68,9 +68,9 @@
 		for (i = 0; i < 16; i++) {
 			took = g_rand_int_range(r, 4, 41) *
 			       g_rand_int_range(r, 5, 61);
-			if (i >= 8 && took > duration_most(&d, MOST))
+			if (i >= 8 && took > duration_upper_estimate(&d, MOST))
 				longer++;
-			duration_learn(&d, took);
+			duration_add(&d, took);
 		}
 	}
 	g_test_message("%u of 16000 longer", longer);
@@ -87,11 +87,11 @@
 	unsigned int i;
 
 	for (i = 0; i < 200; i++)
-		duration_learn(&d, 1000 + i % 7 * 100);
-	g_assert_cmpint(duration_most(&d, MOST), <, 3000);
+		duration_add(&d, 1000 + i % 7 * 100);
+	g_assert_cmpint(duration_upper_estimate(&d, MOST), <, 3000);
 	for (i = 0; i < 40; i++)
-		duration_learn(&d, 3000 + i % 7 * 300);
-	g_assert_cmpint(duration_most(&d, MOST), >, 4800);
+		duration_add(&d, 3000 + i % 7 * 300);
+	g_assert_cmpint(duration_upper_estimate(&d, MOST), >, 4800);
 }
 
 /*
@@ -105,13 +105,13 @@
 	unsigned int i;
 
 	for (i = 0; i < 100; i++) {
-		duration_learn(&d, 600);
-		duration_learn_at_least(&d, 100);
+		duration_add(&d, 600);
+		duration_add_lower_bound(&d, 100);
 	}
-	g_assert_cmpint(duration_most(&d, MOST), <, 700);
+	g_assert_cmpint(duration_upper_estimate(&d, MOST), <, 700);
 	for (i = 0; i < 20; i++)
-		duration_learn_at_least(&d, 1500);
-	g_assert_cmpint(duration_most(&d, MOST), >, 2500);
+		duration_add_lower_bound(&d, 1500);
+	g_assert_cmpint(duration_upper_estimate(&d, MOST), >, 2500);
 }
 
 /* Never longer than the caller's timeout. */
@@ -122,9 +122,9 @@
 	unsigned int i;
 
 	for (i = 0; i < 50; i++)
-		duration_learn(&d, 1000000);
-	g_assert_cmpint(duration_most(&d, MOST), ==, MOST);
-	g_assert_cmpint(duration_most(&d, 0), ==, 0);
+		duration_add(&d, 1000000);
+	g_assert_cmpint(duration_upper_estimate(&d, MOST), ==, MOST);
+	g_assert_cmpint(duration_upper_estimate(&d, 0), ==, 0);
 }
 
 int
--- a/tests/test-http-message.c
+++ b/tests/test-http-message.c
@@ -32,11 +32,11 @@
 {
 	size_t at = 0, step, took;
 
-	while (at < n && r->stage < HTTP_STAGE_WHOLE) {
+	while (at < n && r->stage < HTTP_STAGE_COMPLETE) {
 		step = MIN(piece, n - at);
-		took = http_reader_take(r, bytes + at, step);
+		took = http_reader_parse(r, bytes + at, step);
 		at += took;
-		if (took == 0 && r->stage < HTTP_STAGE_WHOLE)
+		if (took == 0 && r->stage < HTTP_STAGE_COMPLETE)
 			break;
 	}
 	return at;
@@ -139,14 +139,14 @@
 
 		http_reader_init(&r, true, HEAD_MAX, BODY_MAX, take_body, &g);
 		at = feed(&r, text, sizeof text - 1, piece);
-		g_assert_cmpint(r.stage, ==, HTTP_STAGE_WHOLE);
+		g_assert_cmpint(r.stage, ==, HTTP_STAGE_COMPLETE);
 		g_assert_cmpstr(r.head->method, ==, "POST");
 		g_assert_cmpstr(r.head->target, ==, "/a?b");
 		g_assert_cmpstr(http_head_get(r.head, "x"), ==, "y");
 		g_assert_cmpstr(g.body->str, ==, "abc");
 		http_reader_reset(&r);
 		at += feed(&r, text + at, sizeof text - 1 - at, piece);
-		g_assert_cmpint(r.stage, ==, HTTP_STAGE_WHOLE);
+		g_assert_cmpint(r.stage, ==, HTTP_STAGE_COMPLETE);
 		g_assert_cmpstr(g.body->str, ==, "abcde");
 		g_assert_cmpstr(text + at, ==, "GET");
 		http_reader_finish(&r);
@@ -189,14 +189,15 @@
 		{ "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
 		  "2\r\nab\r\n",
 		    true, HTTP_STAGE_FAILED, "ab" },
-		{ "HTTP/1.1 200 OK\r\n\r\nab", true, HTTP_STAGE_WHOLE, "ab" },
+		{ "HTTP/1.1 200 OK\r\n\r\nab", true, HTTP_STAGE_COMPLETE,
+		    "ab" },
 		{ "HTTP/1.1 200 OK\r\n\r\nab", false, HTTP_STAGE_BODY, "ab" },
 		{ "HTTP/1.1 200 OK\r\nContent-Le", true, HTTP_STAGE_FAILED,
 		    "" },
-		{ "HTTP/1.1 204 No Content\r\n\r\n", false, HTTP_STAGE_WHOLE,
+		{ "HTTP/1.1 204 No Content\r\n\r\n", false, HTTP_STAGE_COMPLETE,
 		    "" },
 		{ "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n", false,
-		    HTTP_STAGE_WHOLE, "" },
+		    HTTP_STAGE_COMPLETE, "" },
 		{ "garbage that is no answer\r\n\r\n", false, HTTP_STAGE_FAILED,
 		    "" },
 	};
@@ -223,10 +224,10 @@
 
 	http_reader_init(&r, true, HEAD_MAX, BODY_MAX, take_body, &g);
 	feed(&r, text, sizeof text - 1, 100);
-	g_assert_cmpint(r.stage, ==, HTTP_STAGE_WHOLE);
-	g_assert_true(http_field_is_hop(r.head, "x-mine"));
-	g_assert_true(http_field_is_hop(r.head, "Transfer-Encoding"));
-	g_assert_false(http_field_is_hop(r.head, "X-Other"));
+	g_assert_cmpint(r.stage, ==, HTTP_STAGE_COMPLETE);
+	g_assert_true(http_field_is_hop_by_hop(r.head, "x-mine"));
+	g_assert_true(http_field_is_hop_by_hop(r.head, "Transfer-Encoding"));
+	g_assert_false(http_field_is_hop_by_hop(r.head, "X-Other"));
 	g_assert_false(r.head->keep_alive);
 	http_reader_finish(&r);
 	g_string_free(g.body, TRUE);
--- a/tests/test-sse.c
+++ b/tests/test-sse.c
@@ -88,7 +88,7 @@
 	for (i = 0; ok && i < 1000; i++)
 		ok = sse_feed(&s, block, 4096, seen_event, &seen);
 	g_assert_false(ok);
-	g_assert_true(s.bad);
+	g_assert_true(s.malformed);
 	g_assert_cmpuint(s.rest_len, <=, SSE_EVENT_MAX);
 	sse_finish(&s);
 	g_string_free(seen.bytes, TRUE);
--- a/wire.h
+++ b/wire.h
@@ -56,7 +56,7 @@
 /* Whether a response states the request rate that its server accepts. */
 enum wire_rate {
 	WIRE_RATE_NONE,
-	WIRE_RATE_NAMED,
+	WIRE_RATE_GIVEN,
 	WIRE_RATE_UNREADABLE
 };
 
@@ -64,20 +64,20 @@
 struct wire_answer {
 	bool ours;	   /* has the id of the request */
 	bool other;	   /* has the id of another request */
-	bool genuine;	   /* signed by a backend server */
+	bool is_signed;	   /* signed by a backend server */
 	bool not_executed; /* the request was not and will not be executed */
 	bool encoded;	   /* has a Content-Encoding */
-	msec keeps_idle;   /* ms the connection may idle; 0: not given */
+	msec keep_alive_timeout; /* ms the connection may idle; 0: not given */
 	enum wire_rate rate;
-	double per_s; /* requests per second with WIRE_RATE_NAMED, else 0 */
+	double per_s; /* requests per second with WIRE_RATE_GIVEN, else 0 */
 };
 
 /* What happens to a header field of a caller's request. */
 enum wire_field {
-	WIRE_FIELD_PASS,  /* forwarded to the backend server */
-	WIRE_FIELD_KEEP,  /* removed: only this node sets it */
-	WIRE_FIELD_KEY,	  /* removed if the configuration has API keys */
-	WIRE_FIELD_RESUME /* removed if this node resumes the stream */
+	WIRE_FIELD_FORWARD, /* forwarded to the backend server */
+	WIRE_FIELD_REMOVE,  /* removed: only this node sets it */
+	WIRE_FIELD_API_KEY, /* removed if the configuration has API keys */
+	WIRE_FIELD_RESUME   /* removed if this node resumes the stream */
 };
 
 /* The request types of the readiness and directory listeners. */
@@ -143,7 +143,7 @@
 	 * The platform's store was restored from an older copy (see era.h):
 	 * read everything again, and repeat what this node wrote to it.
 	 */
-	void (*rewound)(struct source *);
+	void (*store_restored)(struct source *);
 	/* A subject has changed: read it again when a read is due. */
 	void (*read)(struct source *, enum relay_subject);
 	/*
