--- a/cmd-explain.c
+++ b/cmd-explain.c
@@ -26,7 +26,7 @@
 };
 
 /* One line of a log. */
-struct line {
+struct log_line {
 	json_t *json;
 	int64_t time;
 	const char *event;
@@ -47,8 +47,8 @@
 explain_read(const char *name, const char *text, GArray *lines)
 {
 	g_auto(GStrv) all = g_strsplit(text, "\n", -1);
-	unsigned int i, cut = 0;
-	struct line l;
+	unsigned int i, ninvalid = 0;
+	struct log_line l;
 	char *at;
 
 	for (i = 0; all[i] != NULL; i++) {
@@ -59,7 +59,7 @@
 		l.node = line_text(l.json, "node");
 		if (l.event == NULL || l.node == NULL) {
 			json_decref(l.json);
-			cut++;
+			ninvalid++;
 			continue;
 		}
 		l.time = json_integer_value(json_object_get(l.json, "time_ms"));
@@ -68,14 +68,15 @@
 		l.same = line_text(l.json, "same");
 		g_array_append_val(lines, l);
 	}
-	if (cut > 0)
-		cmd_say("%s: %u lines are not valid log events", name, cut);
+	if (ninvalid > 0)
+		cmd_print_message(
+		    "%s: %u lines are not valid log events", name, ninvalid);
 }
 
 static int
 line_compare(const void *a, const void *b)
 {
-	const struct line *x = a, *y = b;
+	const struct log_line *x = a, *y = b;
 
 	return x->time < y->time ? -1 : x->time > y->time;
 }
@@ -84,12 +85,12 @@
 static int64_t
 explain_begin(const GArray *lines, const char *id, int64_t *end)
 {
-	const struct line *l;
+	const struct log_line *l;
 	int64_t begin = -1, at;
 	guint i;
 
 	for (i = 0; i < lines->len; i++) {
-		l = &g_array_index(lines, struct line, i);
+		l = &g_array_index(lines, struct log_line, i);
 		if (g_strcmp0(l->request, id) != 0)
 			continue;
 		at = l->time;
@@ -104,13 +105,13 @@
 }
 
 static bool
-explain_met(const GArray *lines, const char *id, const char *server)
+explain_used_server(const GArray *lines, const char *id, const char *server)
 {
-	const struct line *l;
+	const struct log_line *l;
 	guint i;
 
 	for (i = 0; server != NULL && i < lines->len; i++) {
-		l = &g_array_index(lines, struct line, i);
+		l = &g_array_index(lines, struct log_line, i);
 		if (g_strcmp0(l->request, id) == 0 &&
 		    g_strcmp0(l->server, server) == 0)
 			return true;
@@ -120,13 +121,13 @@
 
 /* True when the request has this fingerprint; retries share it. */
 static bool
-explain_is_same(const GArray *lines, const char *id, const char *same)
+explain_has_fingerprint(const GArray *lines, const char *id, const char *same)
 {
-	const struct line *l;
+	const struct log_line *l;
 	guint i;
 
 	for (i = 0; same != NULL && i < lines->len; i++) {
-		l = &g_array_index(lines, struct line, i);
+		l = &g_array_index(lines, struct log_line, i);
 		if (g_strcmp0(l->request, id) == 0 &&
 		    g_strcmp0(l->same, same) == 0)
 			return true;
@@ -136,10 +137,10 @@
 
 /* True for a line of another or no request that may explain this one. */
 static bool
-explain_concerns(
-    const GArray *lines, const struct line *l, const char *id, const char *node)
+explain_is_related(const GArray *lines, const struct log_line *l,
+    const char *id, const char *node)
 {
-	static const char *const others[] = { "configuration",
+	static const char *const node_events[] = { "configuration",
 		"configuration-unreadable", "era", "platform-lost",
 		"platform-back", "started", "stopping", "stopped",
 		"log-dropped" };
@@ -147,22 +148,22 @@
 
 	if (l->request != NULL)
 		return strcmp(l->event, "attempt-failed") == 0 &&
-		       explain_is_same(lines, id, l->same);
+		       explain_has_fingerprint(lines, id, l->same);
 	if (l->server != NULL)
-		return explain_met(lines, id, l->server);
+		return explain_used_server(lines, id, l->server);
 	if (l->same != NULL)
-		return explain_is_same(lines, id, l->same);
+		return explain_has_fingerprint(lines, id, l->same);
 	if (g_strcmp0(l->node, node) != 0)
 		return false;
-	for (i = 0; i < G_N_ELEMENTS(others); i++) {
-		if (strcmp(l->event, others[i]) == 0)
+	for (i = 0; i < G_N_ELEMENTS(node_events); i++) {
+		if (strcmp(l->event, node_events[i]) == 0)
 			return true;
 	}
 	return false;
 }
 
 static void
-explain_print(const struct line *l, int64_t begin)
+explain_print(const struct log_line *l, int64_t begin)
 {
 	const char *key;
 	json_t *value;
@@ -187,11 +188,11 @@
 static const char *
 explain_node(const GArray *lines, const char *id)
 {
-	const struct line *l;
+	const struct log_line *l;
 	guint i;
 
 	for (i = 0; i < lines->len; i++) {
-		l = &g_array_index(lines, struct line, i);
+		l = &g_array_index(lines, struct log_line, i);
 		if (g_strcmp0(l->request, id) == 0)
 			return l->node;
 	}
@@ -202,13 +203,13 @@
 explain_lines(GArray *lines, const char *id)
 {
 	int64_t begin, end = 0;
-	const struct line *l;
+	const struct log_line *l;
 	const char *node;
 	guint i;
 
 	g_array_sort(lines, line_compare);
 	if ((begin = explain_begin(lines, id, &end)) == -1) {
-		cmd_say(
+		cmd_print_message(
 		    "no line for request %s; lines about successful requests "
 		    "may be left out",
 		    id);
@@ -216,10 +217,10 @@
 	}
 	node = explain_node(lines, id);
 	for (i = 0; i < lines->len; i++) {
-		l = &g_array_index(lines, struct line, i);
+		l = &g_array_index(lines, struct log_line, i);
 		if (g_strcmp0(l->request, id) == 0 ||
 		    (l->time >= begin - EXPLAIN_BEFORE_MS && l->time <= end &&
-			explain_concerns(lines, l, id, node)))
+			explain_is_related(lines, l, id, node)))
 			explain_print(l, begin);
 	}
 	return CMD_OK;
@@ -228,7 +229,7 @@
 static enum cmd_retval
 cmd_explain_exec(struct cmd *c)
 {
-	GArray *lines = g_array_new(FALSE, FALSE, sizeof(struct line));
+	GArray *lines = g_array_new(FALSE, FALSE, sizeof(struct log_line));
 	enum cmd_retval rc = CMD_OK;
 	unsigned int i;
 
@@ -244,7 +245,7 @@
 	if (rc == CMD_OK)
 		rc = explain_lines(lines, c->args[0]);
 	for (i = 0; i < lines->len; i++)
-		json_decref(g_array_index(lines, struct line, i).json);
+		json_decref(g_array_index(lines, struct log_line, i).json);
 	g_array_unref(lines);
 	return rc;
 }
--- a/cmd-node.c
+++ b/cmd-node.c
@@ -50,7 +50,7 @@
 };
 
 /* A node whose own status is requested. */
-struct ask {
+struct status_request {
 	const struct cmd *cmd;
 	const char *name;
 	const char *address;
@@ -58,7 +58,7 @@
 };
 
 static const char *
-text_of(const json_t *o, const char *key)
+json_text(const json_t *o, const char *key)
 {
 	const char *s = json_string_value(json_object_get(o, key));
 
@@ -72,7 +72,8 @@
 	json_t *o;
 
 	if (c->control == NULL) {
-		cmd_say("expected --control IP:PORT or SAVORYPIER_CONTROL");
+		cmd_print_message(
+		    "expected --control IP:PORT or SAVORYPIER_CONTROL");
 		*retval = CMD_USAGE;
 		return NULL;
 	}
@@ -87,9 +88,9 @@
 }
 
 static void
-ask_run(void *item)
+status_request_run(void *item)
 {
-	struct ask *a = item;
+	struct status_request *a = item;
 
 	a->answer =
 	    control_call(a->cmd, "GET", a->address, "/control/status", NULL);
@@ -98,15 +99,16 @@
 static bool
 member_is_dead(const json_t *member)
 {
-	return strcmp(text_of(member, "state"), "dead") == 0;
+	return strcmp(json_text(member, "state"), "dead") == 0;
 }
 
 /* Request the status of each member that is not dead: {name: status}. */
 static json_t *
-status_ask_all(const struct cmd *c, const json_t *members)
+status_request_all(const struct cmd *c, const json_t *members)
 {
 	size_t i, n = json_array_size(members);
-	struct ask *asks = g_new0(struct ask, n + 1);
+	struct status_request *status_requests =
+	    g_new0(struct status_request, n + 1);
 	void **items = g_new0(void *, n + 1);
 	json_t *all = json_object();
 	const json_t *m;
@@ -114,19 +116,20 @@
 
 	for (i = 0; i < n; i++) {
 		m = json_array_get(members, i);
-		asks[i].cmd = c;
-		asks[i].name = text_of(m, "name");
-		asks[i].address = text_of(m, "control");
+		status_requests[i].cmd = c;
+		status_requests[i].name = json_text(m, "name");
+		status_requests[i].address = json_text(m, "control");
 		if (!member_is_dead(m))
-			items[nitems++] = &asks[i];
+			items[nitems++] = &status_requests[i];
 	}
-	cmd_each(items, nitems, ask_run);
+	cmd_run_parallel(items, nitems, status_request_run);
 	for (i = 0; i < n; i++) {
-		if (asks[i].answer != NULL)
-			json_object_set_new(all, asks[i].name, asks[i].answer);
+		if (status_requests[i].answer != NULL)
+			json_object_set_new(all, status_requests[i].name,
+			    status_requests[i].answer);
 	}
 	g_free(items);
-	g_free(asks);
+	g_free(status_requests);
 	return all;
 }
 
@@ -138,7 +141,7 @@
 	size_t i;
 
 	json_array_foreach (list, i, d) {
-		if (strcmp(text_of(d, "service"), service) == 0)
+		if (strcmp(json_text(d, "service"), service) == 0)
 			return json_integer_value(
 			    json_object_get(d, "version"));
 	}
@@ -163,7 +166,7 @@
 		if (member_is_dead(m))
 			continue;
 		of++;
-		name = text_of(m, "name");
+		name = json_text(m, "name");
 		one = json_object_get(statuses, name);
 		if (one != NULL && status_version(one, service) == newest)
 			in_force++;
@@ -186,7 +189,7 @@
 		list = json_object_get(one, "documents");
 		json_array_foreach (list, i, d)
 			json_object_set_new(
-			    services, text_of(d, "service"), json_null());
+			    services, json_text(d, "service"), json_null());
 	}
 	json_object_foreach (services, name, unused)
 		json_array_append_new(
@@ -205,11 +208,12 @@
 	printf("%-20s %-8s %-16s %-21s %s\n", "NODE", "STATE", "DOMAIN",
 	    "CALLER", "LOAD");
 	json_array_foreach (members, i, m) {
-		name = text_of(m, "name");
+		name = json_text(m, "name");
 		load = json_object_get(m, "load_permille");
 		printf("%-20s %-8s %-16s %-21s %.0f%%%s\n", name,
-		    text_of(m, "state"), text_of(m, "domain"),
-		    text_of(m, "caller"), (double)json_integer_value(load) / 10,
+		    json_text(m, "state"), json_text(m, "domain"),
+		    json_text(m, "caller"),
+		    (double)json_integer_value(load) / 10,
 		    json_object_get(statuses, name) == NULL ? "  no answer"
 							    : "");
 	}
@@ -226,10 +230,10 @@
 	printf("\n%-20s %-16s %-16s %-8s %-21s %s\n", "BACKEND", "SERVICE",
 	    "DOMAIN", "STATE", "ADDRESS", "OWNER");
 	json_array_foreach (engines, i, e)
-		printf("%-20s %-16s %-16s %-8s %-21s %s\n", text_of(e, "name"),
-		    text_of(e, "service"), text_of(e, "domain"),
-		    text_of(e, "state"), text_of(e, "address"),
-		    text_of(e, "owner"));
+		printf("%-20s %-16s %-16s %-8s %-21s %s\n",
+		    json_text(e, "name"), json_text(e, "service"),
+		    json_text(e, "domain"), json_text(e, "state"),
+		    json_text(e, "address"), json_text(e, "owner"));
 }
 
 static void
@@ -244,7 +248,7 @@
 		printf("document %s version %" JSON_INTEGER_FORMAT
 		       " in force on %" JSON_INTEGER_FORMAT
 		       " of %" JSON_INTEGER_FORMAT,
-		    text_of(d, "service"),
+		    json_text(d, "service"),
 		    json_integer_value(json_object_get(d, "version")),
 		    json_integer_value(json_object_get(d, "in_force")),
 		    json_integer_value(json_object_get(d, "of")));
@@ -265,8 +269,8 @@
 	if (self == NULL)
 		return retval;
 	members = json_object_get(self, "members");
-	statuses = status_ask_all(c, members);
-	json_object_set(statuses, text_of(self, "node"), self);
+	statuses = status_request_all(c, members);
+	json_object_set(statuses, json_text(self, "node"), self);
 	documents = status_documents(members, statuses);
 	if (c->json) {
 		cmd_print_json(json_pack("{sO sO sO}", "members", members,
@@ -296,12 +300,12 @@
 	if ((self = cmd_status(c, retval)) == NULL)
 		return NULL;
 	json_array_foreach (json_object_get(self, "members"), i, m) {
-		if (strcmp(text_of(m, "name"), name) == 0 && address == NULL)
-			address = g_strdup(text_of(m, "control"));
+		if (strcmp(json_text(m, "name"), name) == 0 && address == NULL)
+			address = g_strdup(json_text(m, "control"));
 	}
 	json_decref(self);
 	if (address == NULL) {
-		cmd_say("%s: no such node", name);
+		cmd_print_message("%s: no such node", name);
 		*retval = CMD_REFUSED;
 	}
 	return address;
@@ -349,7 +353,7 @@
 	const json_t *one, *list = json_object_get(o, "alternates");
 	size_t i;
 
-	printf("%s\n", text_of(o, "address"));
+	printf("%s\n", json_text(o, "address"));
 	json_array_foreach (list, i, one)
 		printf("alternate %s\n", json_string_value(one));
 	printf("for %" JSON_INTEGER_FORMAT " ms\n",
@@ -370,7 +374,7 @@
 	escaped =
 	    g_uri_escape_string(domain != NULL ? domain : "", NULL, FALSE);
 	path = g_strconcat("/v1/entry?domain=", escaped, NULL);
-	o = caller_call(text_of(self, "caller"), path, &error);
+	o = caller_call(json_text(self, "caller"), path, &error);
 	json_decref(self);
 	if (o == NULL)
 		return cmd_fail(error);
--- a/cmd-publish.c
+++ b/cmd-publish.c
@@ -15,8 +15,8 @@
 
 #define APPEND_TIMEOUT (15 * MSEC_SECOND)
 /* Interval and time limit of polling a node when the log lacks records. */
-#define ASK_EVERY ((msec)200)
-#define ASK_TIMEOUT (5 * MSEC_SECOND)
+#define VERSION_POLL_INTERVAL ((msec)200)
+#define VERSION_POLL_TIMEOUT (5 * MSEC_SECOND)
 
 static enum cmd_retval cmd_publish_exec(struct cmd *);
 
@@ -63,7 +63,7 @@
 	if (ok)
 		g_strlcpy(p->service, d.service, sizeof p->service);
 	else
-		cmd_say("%u findings, nothing published", f.count);
+		cmd_print_message("%u findings, nothing published", f.count);
 	document_finish(&d);
 	findings_finish(&f);
 	return ok;
@@ -97,8 +97,9 @@
 	    "by", v->by, "wall_ms", (json_int_t)v->wall);
 	json_object_set_new(o, "winner", winner);
 	json_object_set_new(o, "diff", json_string(diff));
-	cmd_say("conflict: version %" PRIu64 " by %s of %s is in force, not "
-		"%" PRIu64 ", which was edited",
+	cmd_print_message("conflict: version %" PRIu64
+			  " by %s of %s is in force, not "
+			  "%" PRIu64 ", which was edited",
 	    v->version, v->by, time, p->base);
 	fputs(diff, stderr);
 }
@@ -106,24 +107,27 @@
 static void
 publish_unknown(const struct publish *p, const char *why)
 {
-	cmd_say("unknown whether %s was published: %s", p->service, why);
-	cmd_say("to find out, or to publish it once, run: savorypier publish "
-		"--id %s --base %" PRIu64 " %s",
+	cmd_print_message(
+	    "unknown whether %s was published: %s", p->service, why);
+	cmd_print_message(
+	    "to find out, or to publish it once, run: savorypier publish "
+	    "--id %s --base %" PRIu64 " %s",
 	    p->id, p->base, p->file);
 }
 
 static void
-publish_say(const struct publish *p, const struct edit *e)
+publish_print_verdict(const struct publish *p, const struct edit *e)
 {
 	switch (e->verdict) {
 	case DOC_ACCEPTED:
-		cmd_say("%s: accepted as version %" PRIu64 ", after %" PRIu64,
+		cmd_print_message("%s: accepted as version %" PRIu64
+				  ", after %" PRIu64,
 		    p->service, e->offset, e->base);
 		break;
 	case DOC_CONFLICT:
 		break;
 	case DOC_REFUSED:
-		cmd_say(
+		cmd_print_message(
 		    "%s: refused, the nodes found errors in it", p->service);
 		break;
 	default:
@@ -135,7 +139,7 @@
 
 /* The version in force on the node at --control; 0: none or no --control. */
 static uint64_t
-publish_ask(const struct cmd *c, const char *service)
+publish_query_version(const struct cmd *c, const char *service)
 {
 	json_t *self, *d;
 	uint64_t version = 0;
@@ -162,12 +166,12 @@
 static bool
 publish_is_in_force(const struct cmd *c, const struct edit *e)
 {
-	msec until = msec_now() + ASK_TIMEOUT;
+	msec until = msec_now() + VERSION_POLL_TIMEOUT;
 
 	while (c->control != NULL && msec_now() < until) {
-		if (publish_ask(c, e->service) == e->offset)
+		if (publish_query_version(c, e->service) == e->offset)
 			return true;
-		g_usleep((gulong)ASK_EVERY * 1000);
+		g_usleep((gulong)VERSION_POLL_INTERVAL * 1000);
 	}
 	return false;
 }
@@ -184,7 +188,7 @@
 	    verdict_name(e->verdict), "version", (json_int_t)e->offset, "base",
 	    (json_int_t)e->base, "id", p->id);
 
-	publish_say(p, e);
+	publish_print_verdict(p, e);
 	if (e->verdict == DOC_CONFLICT)
 		publish_conflict(p, o);
 	if (c->json)
@@ -208,10 +212,11 @@
 	}
 	if (known)
 		return true;
-	if ((p->base = publish_ask(c, p->service)) != 0)
+	if ((p->base = publish_query_version(c, p->service)) != 0)
 		return true;
-	cmd_say("the log has deleted the version of %s that is in force: give "
-		"--base, or --control to query a node; nothing published",
+	cmd_print_message(
+	    "the log has deleted the version of %s that is in force: give "
+	    "--base, or --control to query a node; nothing published",
 	    p->service);
 	return false;
 }
@@ -253,7 +258,7 @@
 
 	record = doc_edit_encode(p->service, p->base, by, p->text, p->id);
 	if (record == NULL) {
-		cmd_say("%s: too large for the log", p->file);
+		cmd_print_message("%s: too large for the log", p->file);
 		return CMD_REFUSED;
 	}
 	offset = log_append_id(p->url, LOG_STREAM_DOCUMENTS, record, p->id,
@@ -261,7 +266,7 @@
 	    (msec)cmd_number(c, "timeout-ms", APPEND_TIMEOUT), &error);
 	free(record);
 	if (offset == 0 && error->code != SAVORY_ERROR_UNKNOWN) {
-		cmd_say("nothing published");
+		cmd_print_message("nothing published");
 		return cmd_fail(error);
 	}
 	if (offset != 0 && edits_read(&p->edits, p->url, &error) &&
@@ -290,7 +295,7 @@
 	if (!edits_read(&p->edits, p->url, &error)) {
 		/* A read changes nothing, so it certainly took no effect. */
 		error->code = SAVORY_ERROR_UNREACHABLE;
-		cmd_say("nothing published");
+		cmd_print_message("nothing published");
 		return cmd_fail(error);
 	}
 	if ((e = edits_find_id(&p->edits, p->id)) != NULL) {
@@ -312,7 +317,8 @@
 	if ((p.url = cmd_log_url(c)) == NULL)
 		return CMD_USAGE;
 	if (id != NULL && !log_id_valid(id)) {
-		cmd_say("--id: expected the id that an earlier run printed");
+		cmd_print_message(
+		    "--id: expected the id that an earlier run printed");
 		return CMD_USAGE;
 	}
 	edits_init(&p.edits);
--- a/cmd-send.c
+++ b/cmd-send.c
@@ -96,11 +96,12 @@
 static void
 stream_outcome(struct send_stream *s, const json_t *o)
 {
-	const json_t *where = json_object_get(o, "error");
+	const json_t *error_object = json_object_get(o, "error");
 	const char *outcome = json_string_value(json_object_get(o, "outcome"));
 
 	if (outcome == NULL)
-		outcome = json_string_value(json_object_get(where, "outcome"));
+		outcome =
+		    json_string_value(json_object_get(error_object, "outcome"));
 	if (outcome != NULL)
 		g_strlcpy(s->outcome, outcome, sizeof s->outcome);
 }
@@ -108,11 +109,11 @@
 static void
 stream_code(struct send_stream *s, const json_t *o)
 {
-	const json_t *where = json_object_get(o, "error");
+	const json_t *error_object = json_object_get(o, "error");
 	const char *code = json_string_value(json_object_get(o, "code"));
 
 	if (code == NULL)
-		code = json_string_value(json_object_get(where, "code"));
+		code = json_string_value(json_object_get(error_object, "code"));
 	if (code != NULL)
 		g_strlcpy(s->code, code, sizeof s->code);
 }
@@ -304,8 +305,8 @@
 	json_decref(o);
 	if (address != NULL)
 		return address;
-	cmd_say("no node accepts requests%s%s", error != NULL ? ": " : "",
-	    error != NULL ? error->message : "");
+	cmd_print_message("no node accepts requests%s%s",
+	    error != NULL ? ": " : "", error != NULL ? error->message : "");
 	*retval = CMD_UNREACHABLE;
 	return NULL;
 }
@@ -330,8 +331,9 @@
 	if (error != NULL && error->code == SAVORY_ERROR_UNREACHABLE)
 		retval = CMD_UNREACHABLE;
 	if (s.error != NULL || error != NULL)
-		cmd_say("%s", s.error != NULL ? s.error : error->message);
-	cmd_say("status %ld, outcome %s%s%s", status,
+		cmd_print_message(
+		    "%s", s.error != NULL ? s.error : error->message);
+	cmd_print_message("status %ld, outcome %s%s%s", status,
 	    *s.outcome != '\0' ? s.outcome : "not told",
 	    *s.code != '\0' ? ", code " : "", s.code);
 	headers_finish(&headers);
@@ -351,7 +353,7 @@
 	size_t n;
 
 	if (path != NULL && service == NULL) {
-		cmd_say("--path: expected --service too");
+		cmd_print_message("--path: expected --service too");
 		return CMD_USAGE;
 	}
 	if (strcmp(c->args[0], "-") != 0)
@@ -367,7 +369,7 @@
 	}
 	body = body_build(c, prompt);
 	if (body == NULL) {
-		cmd_say("the prompt is not UTF-8");
+		cmd_print_message("the prompt is not UTF-8");
 		return CMD_REFUSED;
 	}
 	url = g_strdup_printf("http://%s/v1/chat/completions", address);
--- a/cmd-show.c
+++ b/cmd-show.c
@@ -43,7 +43,7 @@
 cmd_log_url(const struct cmd *c)
 {
 	if (c->log_url == NULL)
-		cmd_say("expected --log URL or SAVORYPIER_LOG");
+		cmd_print_message("expected --log URL or SAVORYPIER_LOG");
 	return c->log_url;
 }
 
@@ -85,7 +85,8 @@
 	g_autofree char *time = NULL;
 
 	if (v == NULL) {
-		cmd_say("%s: the log contains no document", c->args[0]);
+		cmd_print_message(
+		    "%s: the log contains no document", c->args[0]);
 		return CMD_REFUSED;
 	}
 	if (c->json) {
@@ -93,11 +94,12 @@
 		return CMD_OK;
 	}
 	time = cmd_time(v->wall);
-	cmd_say("%s version %" PRIu64 " by %s of %s", v->service, v->version,
-	    v->by, time);
+	cmd_print_message("%s version %" PRIu64 " by %s of %s", v->service,
+	    v->version, v->by, time);
 	if (!v->exact)
-		cmd_say("the log has deleted some records; a later version "
-			"may be in force");
+		cmd_print_message(
+		    "the log has deleted some records; a later version "
+		    "may be in force");
 	fputs(v->text, stdout);
 	return CMD_OK;
 }
@@ -139,7 +141,7 @@
 		cmd_print_json(json_incref(all));
 	json_decref(all);
 	if (n == 0)
-		cmd_say("%s: the log contains no edit", c->args[0]);
+		cmd_print_message("%s: the log contains no edit", c->args[0]);
 	return n == 0 ? CMD_REFUSED : CMD_OK;
 }
 
@@ -153,7 +155,7 @@
 	if (g_ascii_string_to_unsigned(number, 10, 1, INT64_MAX, &n, NULL))
 		text = edits_text(e, c->args[0], n);
 	if (text == NULL)
-		cmd_say(
+		cmd_print_message(
 		    "%s: the log contains no version %s", c->args[0], number);
 	return text;
 }
--- a/cmd-textdiff.c
+++ b/cmd-textdiff.c
@@ -8,12 +8,12 @@
 
 #include <string.h>
 
-#define CONTEXT 3
+#define CONTEXT_LINES 3
 /*
  * The search keeps a row for each edit, so its memory is quadratic. Texts that
  * differ in more lines than this are shown as replaced as a whole.
  */
-#define EDITS_MAX 2000
+#define DIFF_EDITS_MAX 2000
 
 struct text_lines {
 	char **line;
@@ -75,7 +75,7 @@
 diff_search(struct diff *d)
 {
 	int edits, k, *row, *last = NULL;
-	int most = MIN(d->old.n + d->new.n, EDITS_MAX);
+	int most = MIN(d->old.n + d->new.n, DIFF_EDITS_MAX);
 
 	for (edits = 0; edits <= most; edits++) {
 		row = g_new0(int, 2 * (gsize)edits + 3);
@@ -145,11 +145,11 @@
 {
 	guint last = i;
 
-	for (; i < d->out->len && i <= last + 2 * CONTEXT; i++) {
+	for (; i < d->out->len && i <= last + 2 * CONTEXT_LINES; i++) {
 		if (diff_line(d, i)->sign != ' ')
 			last = i;
 	}
-	return MIN(last + CONTEXT + 1, d->out->len);
+	return MIN(last + CONTEXT_LINES + 1, d->out->len);
 }
 
 static void
@@ -181,7 +181,7 @@
 			i++;
 			continue;
 		}
-		from = i > end + CONTEXT ? i - CONTEXT : end;
+		from = i > end + CONTEXT_LINES ? i - CONTEXT_LINES : end;
 		end = hunk_end(d, i);
 		hunk_print(d, from, end, s);
 		i = end;
@@ -200,7 +200,7 @@
 		return g_string_free(s, FALSE);
 	lines_split(&d.old, old);
 	lines_split(&d.new, new);
-	d.rows = g_new0(int *, EDITS_MAX + 1);
+	d.rows = g_new0(int *, DIFF_EDITS_MAX + 1);
 	d.out = g_array_new(FALSE, FALSE, sizeof(struct diff_line));
 	if ((edits = diff_search(&d)) == -1)
 		diff_replace(&d);
--- a/cmd-top.c
+++ b/cmd-top.c
@@ -334,7 +334,7 @@
 		if (all[i].address != NULL)
 			items[nitems++] = &all[i];
 	}
-	cmd_each(items, nitems, fetch_run);
+	cmd_run_parallel(items, nitems, fetch_run);
 	for (i = 0; i < n; i++) {
 		top_add(t, all[i].text->str);
 		g_string_free(all[i].text, TRUE);
--- a/cmd-util.c
+++ b/cmd-util.c
@@ -17,13 +17,13 @@
 #define ANSWER_MAX (16 * 1024 * 1024)
 #define CONNECT_TIMEOUT (2 * MSEC_SECOND)
 #define CONTROL_TIMEOUT (5 * MSEC_SECOND)
-#define EACH_THREADS 16
+#define PARALLEL_THREADS 16
 
 static size_t http_body(char *, size_t, size_t, void *);
 static size_t http_header(char *, size_t, size_t, void *);
 
 void
-cmd_say(const char *fmt, ...)
+cmd_print_message(const char *fmt, ...)
 {
 	g_autofree char *text = NULL;
 	va_list ap;
@@ -37,7 +37,7 @@
 enum cmd_retval
 cmd_fail(const GError *error)
 {
-	cmd_say("%s", error->message);
+	cmd_print_message("%s", error->message);
 	if (error->domain != SAVORY_ERROR)
 		return CMD_REFUSED;
 	switch (error->code) {
@@ -190,7 +190,7 @@
 answer_json(const char *url, long status, const GString *s, GError **error)
 {
 	json_t *o = json_loadb(s->str, s->len, 0, NULL);
-	const char *said = json_string_value(
+	const char *server_message = json_string_value(
 	    json_object_get(json_object_get(o, "error"), "message"));
 
 	if (status == 200 && json_is_object(o))
@@ -200,8 +200,9 @@
 		    "%s: the answer is not a JSON object", url);
 	else
 		g_set_error(error, SAVORY_ERROR, SAVORY_ERROR_REFUSED,
-		    "%s: status %ld%s%s", url, status, said != NULL ? ": " : "",
-		    said != NULL ? said : "");
+		    "%s: status %ld%s%s", url, status,
+		    server_message != NULL ? ": " : "",
+		    server_message != NULL ? server_message : "");
 	json_decref(o);
 	return NULL;
 }
@@ -261,7 +262,7 @@
 }
 
 /* Items shared by several threads; each thread takes the next one. */
-struct each {
+struct parallel_work {
 	void **items;
 	unsigned int n;
 	unsigned int next; /* atomic */
@@ -269,9 +270,9 @@
 };
 
 static void *
-each_run(void *arg)
+parallel_work_run(void *arg)
 {
-	struct each *e = arg;
+	struct parallel_work *e = arg;
 	unsigned int i;
 
 	while ((i = __atomic_fetch_add(&e->next, 1, __ATOMIC_RELAXED)) < e->n)
@@ -281,16 +282,17 @@
 
 /* The calling thread works too, so no item is left if no thread starts. */
 void
-cmd_each(void **items, unsigned int n, void (*fn)(void *))
+cmd_run_parallel(void **items, unsigned int n, void (*fn)(void *))
 {
-	struct each e = { items, n, 0, fn };
-	pthread_t threads[EACH_THREADS];
+	struct parallel_work e = { items, n, 0, fn };
+	pthread_t threads[PARALLEL_THREADS];
 	unsigned int i, started = 0;
 
-	while (started < EACH_THREADS && started + 1 < n &&
-	       pthread_create(&threads[started], NULL, each_run, &e) == 0)
+	while (
+	    started < PARALLEL_THREADS && started + 1 < n &&
+	    pthread_create(&threads[started], NULL, parallel_work_run, &e) == 0)
 		started++;
-	each_run(&e);
+	parallel_work_run(&e);
 	for (i = 0; i < started; i++)
 		pthread_join(threads[i], NULL);
 }
--- a/cmd.h
+++ b/cmd.h
@@ -76,7 +76,7 @@
 /* Print an error on standard error; returns its exit code. */
 enum cmd_retval cmd_fail(const GError *);
 /* Print a line on standard error. */
-void cmd_say(const char *, ...) __attribute__((format(printf, 1, 2)));
+void cmd_print_message(const char *, ...) __attribute__((format(printf, 1, 2)));
 /* Print JSON to standard output; takes ownership of the reference. */
 void cmd_print_json(json_t *);
 /* A wall time (ms) as 2026-12-02T21:20:00Z; to be freed. */
@@ -157,7 +157,7 @@
 bool check_is_settings(const char *);
 
 /* Call a function for each pointer of an array, on several threads. */
-void cmd_each(void **, unsigned int, void (*)(void *));
+void cmd_run_parallel(void **, unsigned int, void (*)(void *));
 /*
  * The status of the node at --control; NULL after an error message, with the
  * exit code.
--- a/daemon-docs.c
+++ b/daemon-docs.c
@@ -270,7 +270,7 @@
 static char *
 docs_checkpoint_text(struct daemon *d, const char *id)
 {
-	struct doc_edges edges = {
+	struct doc_stream_range edges = {
 		.first = d->log_first, .next = d->log_next, .wall = msec_wall()
 	};
 	struct doc_version *v = doc_fold_checkpoint_due(&d->fold, &edges);
--- a/daemon-ledger.c
+++ b/daemon-ledger.c
@@ -536,7 +536,7 @@
 		ledger_fold_gap(&s->home.fold, p->first,
 		    p->nentries > 0
 			? p->entries[0].wall
-			: msec_wall() - s->daemon->settings.log_keeps);
+			: msec_wall() - s->daemon->settings.log_retention);
 	s->gap_checked = true;
 	for (i = 0; i < p->nentries; i++)
 		ledger_home_apply(&s->home, p->entries[i].offset,
--- a/daemon-placement.c
+++ b/daemon-placement.c
@@ -398,7 +398,7 @@
 	if (!dp->gap_checked && p->first > 1)
 		lease_fold_gap(&dp->fold, now, p->first,
 		    p->nentries > 0 ? p->entries[0].wall
-				    : msec_wall() - d->settings.log_keeps);
+				    : msec_wall() - d->settings.log_retention);
 	dp->gap_checked = true;
 	for (i = 0; i < p->nentries; i++)
 		lease_fold_apply(&dp->fold, now, p->entries[i].offset,
--- a/doc-fold.c
+++ b/doc-fold.c
@@ -13,14 +13,14 @@
 #include <xxhash.h>
 
 /* A checkpoint's or a peer's state of one service, before it is checked. */
-struct doc_claim {
+struct doc_snapshot {
 	const char *service;
 	uint64_t at;
 	uint64_t version;
 	const char *text;
 	const char *by;
 	msec wall;
-	const json_t *seen;
+	const json_t *judged_ids;
 	uint64_t anchor; /* as in struct doc_version */
 	msec anchor_wall;
 };
@@ -29,15 +29,15 @@
 static struct doc_version *version_get(struct doc_fold *, const char *, bool);
 static void version_free(struct doc_fold *, struct doc_version *);
 static void tree_free(struct doc_fold *, struct doc_version_tree *);
-static void version_hold(struct doc_fold *, struct doc_version *, uint64_t,
+static void version_set(struct doc_fold *, struct doc_version *, uint64_t,
     const char *, const char *, msec);
 static struct doc_version_tree *
 version_tree(struct doc_fold *, const struct doc_version *);
-static void seen_clear(struct doc_version *);
-static void seen_add(struct doc_version *, const char *);
-static bool seen_has(const struct doc_version *, const char *);
-static json_t *seen_encode(const struct doc_version *);
-static bool seen_valid(const json_t *);
+static void judged_ids_clear(struct doc_version *);
+static void judged_ids_add(struct doc_version *, const char *);
+static bool judged_ids_contain(const struct doc_version *, const char *);
+static json_t *judged_ids_encode(const struct doc_version *);
+static bool judged_ids_valid(const json_t *);
 static enum doc_verdict
 apply_record(struct doc_fold *, uint64_t, msec, const json_t *);
 static enum doc_verdict
@@ -48,21 +48,21 @@
 apply_checkpoint(struct doc_fold *, uint64_t, msec, const json_t *);
 static enum doc_verdict
 apply_index(struct doc_fold *, uint64_t, msec, const json_t *);
-static bool claim_decode(struct doc_claim *, const json_t *);
+static bool snapshot_decode(struct doc_snapshot *, const json_t *);
 static enum doc_verdict
-claim_take(struct doc_fold *, const struct doc_claim *, bool);
-static bool index_fits(struct doc_fold *, const json_t *);
+snapshot_apply(struct doc_fold *, const struct doc_snapshot *, bool);
+static bool index_agrees(struct doc_fold *, const json_t *);
 static bool index_valid(const json_t *);
-static void index_take(struct doc_fold *, const json_t *);
-static bool fold_holds_any_exact(const struct doc_fold *);
+static void index_set_services(struct doc_fold *, const json_t *);
+static bool fold_has_exact_version(const struct doc_fold *);
 static bool text_accepted(const char *, const char *);
-static bool anchor_due(uint64_t, msec, const struct doc_edges *);
+static bool anchor_due(uint64_t, msec, const struct doc_stream_range *);
 static json_t *version_export(const struct doc_version *);
 static bool import_valid(const json_t *);
 static void import_replace(struct doc_fold *, const json_t *);
 static void import_merge(struct doc_fold *, const json_t *);
-static void import_names(struct doc_fold *, const json_t *, const json_t *);
-static bool import_keeps(struct doc_fold *, const json_t *);
+static void import_index(struct doc_fold *, const json_t *, const json_t *);
+static bool import_keeps_versions(struct doc_fold *, const json_t *);
 static void version_encode(const struct doc_version *, json_t *);
 
 RB_GENERATE(doc_version_tree, doc_version, entry, doc_version_cmp)
@@ -80,7 +80,7 @@
 	RB_INIT(&f->services);
 	RB_INIT(&f->unknown);
 	/* Before the first record no service exists, so the fold is exact. */
-	f->next = f->since = f->index_anchor = 1;
+	f->next = f->read_from = f->index_anchor = 1;
 	f->complete = true;
 }
 
@@ -123,7 +123,7 @@
 		return v;
 	v = g_new0(struct doc_version, 1);
 	g_strlcpy(v->service, service, sizeof v->service);
-	TAILQ_INIT(&v->seen);
+	TAILQ_INIT(&v->judged_ids);
 	RB_INSERT(doc_version_tree, &f->unknown, v);
 	return v;
 }
@@ -132,14 +132,14 @@
 version_free(struct doc_fold *f, struct doc_version *v)
 {
 	RB_REMOVE(doc_version_tree, version_tree(f, v), v);
-	seen_clear(v);
+	judged_ids_clear(v);
 	g_free(v->text);
 	g_free(v->by);
 	g_free(v);
 }
 
 static void
-version_hold(struct doc_fold *f, struct doc_version *v, uint64_t version,
+version_set(struct doc_fold *f, struct doc_version *v, uint64_t version,
     const char *text, const char *by, msec wall)
 {
 	RB_REMOVE(doc_version_tree, version_tree(f, v), v);
@@ -153,42 +153,42 @@
 }
 
 static void
-seen_clear(struct doc_version *v)
+judged_ids_clear(struct doc_version *v)
 {
-	struct doc_seen *s;
+	struct doc_edit_id *s;
 
-	while ((s = TAILQ_FIRST(&v->seen)) != NULL) {
-		TAILQ_REMOVE(&v->seen, s, entry);
+	while ((s = TAILQ_FIRST(&v->judged_ids)) != NULL) {
+		TAILQ_REMOVE(&v->judged_ids, s, entry);
 		g_free(s->id);
 		g_free(s);
 	}
-	v->nseen = 0;
+	v->njudged_ids = 0;
 }
 
 static void
-seen_add(struct doc_version *v, const char *id)
+judged_ids_add(struct doc_version *v, const char *id)
 {
-	struct doc_seen *s;
+	struct doc_edit_id *s;
 
-	s = g_new0(struct doc_seen, 1);
+	s = g_new0(struct doc_edit_id, 1);
 	s->id = g_strdup(id);
-	TAILQ_INSERT_TAIL(&v->seen, s, entry);
-	if (v->nseen < DOC_FOLD_SEEN_MAX) {
-		v->nseen++;
+	TAILQ_INSERT_TAIL(&v->judged_ids, s, entry);
+	if (v->njudged_ids < DOC_FOLD_JUDGED_IDS_MAX) {
+		v->njudged_ids++;
 		return;
 	}
-	s = TAILQ_FIRST(&v->seen);
-	TAILQ_REMOVE(&v->seen, s, entry);
+	s = TAILQ_FIRST(&v->judged_ids);
+	TAILQ_REMOVE(&v->judged_ids, s, entry);
 	g_free(s->id);
 	g_free(s);
 }
 
 static bool
-seen_has(const struct doc_version *v, const char *id)
+judged_ids_contain(const struct doc_version *v, const char *id)
 {
-	const struct doc_seen *s;
+	const struct doc_edit_id *s;
 
-	TAILQ_FOREACH (s, &v->seen, entry) {
+	TAILQ_FOREACH (s, &v->judged_ids, entry) {
 		if (strcmp(s->id, id) == 0)
 			return true;
 	}
@@ -196,23 +196,23 @@
 }
 
 static json_t *
-seen_encode(const struct doc_version *v)
+judged_ids_encode(const struct doc_version *v)
 {
-	const struct doc_seen *s;
+	const struct doc_edit_id *s;
 	json_t *a = json_array();
 
-	TAILQ_FOREACH (s, &v->seen, entry)
+	TAILQ_FOREACH (s, &v->judged_ids, entry)
 		json_array_append_new(a, json_string(s->id));
 	return a;
 }
 
 static bool
-seen_valid(const json_t *a)
+judged_ids_valid(const json_t *a)
 {
 	const json_t *one;
 	size_t i;
 
-	if (!json_is_array(a) || json_array_size(a) > DOC_FOLD_SEEN_MAX)
+	if (!json_is_array(a) || json_array_size(a) > DOC_FOLD_JUDGED_IDS_MAX)
 		return false;
 	json_array_foreach (a, i, one) {
 		if (!json_is_string(one) ||
@@ -298,9 +298,9 @@
 	log_record_uint(o, "base", &base);
 	if (v != NULL) {
 		v->last_edit = offset;
-		if (seen_has(v, id))
+		if (judged_ids_contain(v, id))
 			return DOC_REPEATED;
-		seen_add(v, id);
+		judged_ids_add(v, id);
 	}
 	if (base != (v != NULL ? v->version : 0))
 		return DOC_CONFLICT;
@@ -312,9 +312,9 @@
 		v->last_edit = offset;
 		v->anchor = f->index_anchor;
 		v->anchor_wall = f->index_wall;
-		seen_add(v, id);
+		judged_ids_add(v, id);
 	}
-	version_hold(f, v, offset, text,
+	version_set(f, v, offset, text,
 	    json_string_value(json_object_get(o, "by")), wall);
 	return DOC_ACCEPTED;
 }
@@ -339,19 +339,20 @@
 }
 
 static bool
-claim_decode(struct doc_claim *c, const json_t *o)
+snapshot_decode(struct doc_snapshot *c, const json_t *o)
 {
 	json_t *wall = json_object_get(o, "wall_ms");
 
-	*c = (struct doc_claim){ 0 };
+	*c = (struct doc_snapshot){ 0 };
 	c->service = json_string_value(json_object_get(o, "service"));
 	c->text = json_string_value(json_object_get(o, "text"));
 	c->by = json_string_value(json_object_get(o, "by"));
-	c->seen = json_object_get(o, "seen");
+	c->judged_ids = json_object_get(o, "seen");
 	c->wall = json_integer_value(wall);
 	return c->service != NULL && name_valid(c->service) &&
 	       c->text != NULL && strlen(c->text) <= DOCUMENT_BYTES_MAX &&
-	       c->by != NULL && json_is_integer(wall) && seen_valid(c->seen) &&
+	       c->by != NULL && json_is_integer(wall) &&
+	       judged_ids_valid(c->judged_ids) &&
 	       log_record_uint(o, "version", &c->version) && c->version > 0;
 }
 
@@ -359,14 +360,14 @@
 apply_checkpoint(
     struct doc_fold *f, uint64_t offset, msec wall, const json_t *o)
 {
-	struct doc_claim c;
+	struct doc_snapshot c;
 
-	if (!claim_decode(&c, o) || !log_record_uint(o, "at", &c.at) ||
+	if (!snapshot_decode(&c, o) || !log_record_uint(o, "at", &c.at) ||
 	    c.at >= offset || c.version > c.at)
 		return DOC_SKIPPED;
 	c.anchor = c.at + 1;
 	c.anchor_wall = wall;
-	return claim_take(f, &c, true);
+	return snapshot_apply(f, &c, true);
 }
 
 /*
@@ -378,7 +379,7 @@
  * so it agrees with every exact fold.
  */
 static enum doc_verdict
-claim_take(struct doc_fold *f, const struct doc_claim *c, bool is_exact)
+snapshot_apply(struct doc_fold *f, const struct doc_snapshot *c, bool is_exact)
 {
 	struct doc_version *v = version_get(f, c->service, !f->complete);
 	const json_t *id;
@@ -387,7 +388,7 @@
 
 	if (v == NULL)
 		return DOC_STALE;
-	closed = is_exact && f->since <= c->at + 1 && v->last_edit <= c->at;
+	closed = is_exact && f->read_from <= c->at + 1 && v->last_edit <= c->at;
 	if (v->exact) {
 		if (closed && c->version == v->version &&
 		    c->anchor > v->anchor) {
@@ -400,15 +401,15 @@
 		return DOC_STALE;
 	newer = c->version > v->version;
 	if (newer)
-		version_hold(f, v, c->version, c->text, c->by, c->wall);
+		version_set(f, v, c->version, c->text, c->by, c->wall);
 	if (closed) {
 		v->exact = true;
 		v->anchor = c->anchor;
 		v->anchor_wall = c->anchor_wall;
 	}
-	seen_clear(v);
-	json_array_foreach (c->seen, i, id)
-		seen_add(v, json_string_value(id));
+	judged_ids_clear(v);
+	json_array_foreach (c->judged_ids, i, id)
+		judged_ids_add(v, json_string_value(id));
 	return DOC_CHECKPOINT;
 }
 
@@ -417,7 +418,7 @@
  * document and, when the fold is complete, no other.
  */
 static bool
-index_fits(struct doc_fold *f, const json_t *names)
+index_agrees(struct doc_fold *f, const json_t *names)
 {
 	const json_t *name;
 	struct doc_version *v;
@@ -457,7 +458,7 @@
 
 /* Services outside the index do not exist; the others get checkpoints. */
 static void
-index_take(struct doc_fold *f, const json_t *names)
+index_set_services(struct doc_fold *f, const json_t *names)
 {
 	struct doc_version *v, *next;
 	const json_t *name;
@@ -465,10 +466,10 @@
 
 	json_array_foreach (names, i, name) {
 		v = version_get(f, json_string_value(name), true);
-		v->listed = true;
+		v->listed_by_index = true;
 	}
 	RB_FOREACH_SAFE (v, doc_version_tree, &f->unknown, next) {
-		if (!v->listed)
+		if (!v->listed_by_index)
 			version_free(f, v);
 	}
 	f->complete = true;
@@ -485,12 +486,12 @@
 	    !index_valid(names))
 		return DOC_SKIPPED;
 	/* Open, as for checkpoints: a service may have been created since. */
-	if (f->since > at + 1 || f->last_create > at)
+	if (f->read_from > at + 1 || f->last_create > at)
 		return DOC_STALE;
-	if (!index_fits(f, names))
+	if (!index_agrees(f, names))
 		return DOC_STALE;
 	if (!was_complete)
-		index_take(f, names);
+		index_set_services(f, names);
 	f->index_anchor = MAX(f->index_anchor, at + 1);
 	f->index_wall = wall;
 	return was_complete ? DOC_STALE : DOC_CHECKPOINT;
@@ -517,7 +518,7 @@
 	log_info("documents stream: records %" PRIu64 " to %" PRIu64
 		 " were deleted before they were read",
 	    f->next, first - 1);
-	f->next = f->since = first;
+	f->next = f->read_from = first;
 	f->complete = false;
 	RB_FOREACH (v, doc_version_tree, &f->services)
 		v->exact = false;
@@ -526,7 +527,7 @@
 }
 
 static bool
-fold_holds_any_exact(const struct doc_fold *f)
+fold_has_exact_version(const struct doc_fold *f)
 {
 	struct doc_fold *g = (struct doc_fold *)f;
 	struct doc_version *v;
@@ -581,7 +582,7 @@
 	json_object_set_new(o, "text", json_string(v->text));
 	json_object_set_new(o, "by", json_string(v->by));
 	json_object_set_new(o, "wall_ms", json_integer(v->wall));
-	json_object_set_new(o, "seen", seen_encode(v));
+	json_object_set_new(o, "seen", judged_ids_encode(v));
 }
 
 char *
@@ -622,7 +623,7 @@
  * records. The last rule needs that some records have already aged out.
  */
 static bool
-anchor_due(uint64_t anchor, msec wall, const struct doc_edges *e)
+anchor_due(uint64_t anchor, msec wall, const struct doc_stream_range *e)
 {
 	if (anchor < e->first)
 		return true;
@@ -632,7 +633,7 @@
 }
 
 struct doc_version *
-doc_fold_checkpoint_due(struct doc_fold *f, const struct doc_edges *e)
+doc_fold_checkpoint_due(struct doc_fold *f, const struct doc_stream_range *e)
 {
 	struct doc_version *v, *found = NULL;
 
@@ -646,7 +647,7 @@
 }
 
 bool
-doc_fold_index_due(const struct doc_fold *f, const struct doc_edges *e)
+doc_fold_index_due(const struct doc_fold *f, const struct doc_stream_range *e)
 {
 	return f->complete && RB_EMPTY(&f->unknown) && f->next > 1 &&
 	       anchor_due(f->index_anchor, f->index_wall, e);
@@ -692,7 +693,7 @@
 import_valid(const json_t *o)
 {
 	const json_t *a = json_object_get(o, "services"), *one;
-	struct doc_claim c;
+	struct doc_snapshot c;
 	uint64_t next, n, hash;
 	size_t i;
 
@@ -703,7 +704,7 @@
 	    !log_record_uint(o, "index_anchor", &n) || !json_is_array(a))
 		return false;
 	json_array_foreach (a, i, one) {
-		if (!claim_decode(&c, one) || c.version >= next ||
+		if (!snapshot_decode(&c, one) || c.version >= next ||
 		    !log_record_uint(one, "last_edit", &n) ||
 		    !log_record_uint(one, "anchor", &n) ||
 		    !log_record_hex(one, "text_xxh64", &hash) ||
@@ -718,29 +719,29 @@
 import_replace(struct doc_fold *f, const json_t *o)
 {
 	const json_t *a = json_object_get(o, "services"), *one, *id;
-	struct doc_claim c;
+	struct doc_snapshot c;
 	struct doc_version *v;
 	size_t i, j;
 
 	doc_fold_finish(f);
 	log_record_uint(o, "next", &f->next);
-	f->since = f->next;
+	f->read_from = f->next;
 	f->complete = json_is_true(json_object_get(o, "exact"));
 	log_record_uint(o, "last_create", &f->last_create);
 	log_record_uint(o, "index_anchor", &f->index_anchor);
 	f->index_wall = json_integer_value(json_object_get(o, "index_wall"));
 	json_array_foreach (a, i, one) {
-		claim_decode(&c, one);
+		snapshot_decode(&c, one);
 		v = version_get(f, c.service, true);
-		version_hold(f, v, c.version, c.text, c.by, c.wall);
+		version_set(f, v, c.version, c.text, c.by, c.wall);
 		v->exact = json_is_true(json_object_get(one, "exact"));
 		log_record_uint(one, "last_edit", &v->last_edit);
 		log_record_uint(one, "anchor", &v->anchor);
 		v->anchor_wall =
 		    json_integer_value(json_object_get(one, "anchor_wall"));
-		seen_clear(v);
-		json_array_foreach (c.seen, j, id)
-			seen_add(v, json_string_value(id));
+		judged_ids_clear(v);
+		json_array_foreach (c.judged_ids, j, id)
+			judged_ids_add(v, json_string_value(id));
 	}
 }
 
@@ -749,46 +750,47 @@
 import_merge(struct doc_fold *f, const json_t *o)
 {
 	const json_t *a = json_object_get(o, "services"), *one;
-	struct doc_claim c;
+	struct doc_snapshot c;
 	json_t *names = json_array();
 	size_t i;
 
 	json_array_foreach (a, i, one) {
-		claim_decode(&c, one);
+		snapshot_decode(&c, one);
 		log_record_uint(o, "next", &c.at);
 		c.at--;
 		log_record_uint(one, "anchor", &c.anchor);
 		c.anchor_wall =
 		    json_integer_value(json_object_get(one, "anchor_wall"));
-		claim_take(f, &c, json_is_true(json_object_get(one, "exact")));
+		snapshot_apply(
+		    f, &c, json_is_true(json_object_get(one, "exact")));
 		json_array_append(names, json_object_get(one, "service"));
 	}
-	import_names(f, o, names);
+	import_index(f, o, names);
 	json_decref(names);
 }
 
 /* An exact peer's services also serve as an index; see apply_index(). */
 static void
-import_names(struct doc_fold *f, const json_t *o, const json_t *names)
+import_index(struct doc_fold *f, const json_t *o, const json_t *names)
 {
 	uint64_t next = 0;
 
 	log_record_uint(o, "next", &next);
 	if (f->complete || !json_is_true(json_object_get(o, "exact")) ||
-	    f->since > next || f->last_create >= next || !index_valid(names) ||
-	    !index_fits(f, names))
+	    f->read_from > next || f->last_create >= next ||
+	    !index_valid(names) || !index_agrees(f, names))
 		return;
-	index_take(f, names);
+	index_set_services(f, names);
 	log_record_uint(o, "index_anchor", &f->index_anchor);
 	f->index_wall = json_integer_value(json_object_get(o, "index_wall"));
 }
 
 /* True when the export has every service of this fold, at no lower version. */
 static bool
-import_keeps(struct doc_fold *f, const json_t *o)
+import_keeps_versions(struct doc_fold *f, const json_t *o)
 {
 	const json_t *a = json_object_get(o, "services"), *one;
-	struct doc_claim c;
+	struct doc_snapshot c;
 	struct doc_version *v;
 	unsigned int held = 0, kept = 0;
 	size_t i;
@@ -796,7 +798,7 @@
 	RB_FOREACH (v, doc_version_tree, &f->services)
 		held++;
 	json_array_foreach (a, i, one) {
-		claim_decode(&c, one);
+		snapshot_decode(&c, one);
 		v = doc_fold_find(f, c.service);
 		kept += v != NULL && v->version <= c.version;
 	}
@@ -821,10 +823,11 @@
 		import_merge(f, o);
 		return true;
 	}
-	if (!is_exact && (fold_holds_any_exact(f) || !import_keeps(f, o)))
+	if (!is_exact &&
+	    (fold_has_exact_version(f) || !import_keeps_versions(f, o)))
 		return true;
 	/* An exact peer that lacks a version of this fold is in error. */
-	if (!import_keeps(f, o))
+	if (!import_keeps_versions(f, o))
 		return false;
 	import_replace(f, o);
 	return true;
--- a/doc-fold.h
+++ b/doc-fold.h
@@ -36,7 +36,7 @@
 #include <jansson.h>
 
 /* Number of recent edit ids kept for each service, to detect repeated edits. */
-#define DOC_FOLD_SEEN_MAX 256
+#define DOC_FOLD_JUDGED_IDS_MAX 256
 
 /* The result of folding one record. */
 enum doc_verdict {
@@ -51,11 +51,11 @@
 };
 
 /* The id of an edit that was judged. */
-struct doc_seen {
-	TAILQ_ENTRY(doc_seen) entry;
+struct doc_edit_id {
+	TAILQ_ENTRY(doc_edit_id) entry;
 	char *id;
 };
-TAILQ_HEAD(doc_seen_list, doc_seen);
+TAILQ_HEAD(doc_edit_id_list, doc_edit_id);
 
 /* One service's document, from the records that this fold has read. */
 struct doc_version {
@@ -70,9 +70,9 @@
 	uint64_t last_edit; /* newest edit record read, with any verdict */
 	uint64_t anchor;    /* a fold reading from here on becomes exact */
 	msec anchor_wall;   /* time of the record that makes it exact */
-	struct doc_seen_list seen;
-	unsigned int nseen;
-	bool listed; /* by an index; the document is not read yet */
+	struct doc_edit_id_list judged_ids;
+	unsigned int njudged_ids;
+	bool listed_by_index; /* by an index; the document is not read yet */
 };
 RB_HEAD(doc_version_tree, doc_version);
 
@@ -81,7 +81,7 @@
 	struct doc_version_tree services; /* with a document */
 	struct doc_version_tree unknown;  /* without one; version is 0 */
 	uint64_t next;			  /* offset to read from */
-	uint64_t since;	       /* every record from here to `next` was read */
+	uint64_t read_from;    /* every record from here to `next` was read */
 	bool complete;	       /* a service not in the tree does not exist */
 	uint64_t last_create;  /* newest edit record with base 0 */
 	uint64_t index_anchor; /* like doc_version.anchor, for `complete` */
@@ -123,7 +123,7 @@
     const struct doc_fold *, const struct doc_version *, const char *);
 char *doc_index_encode(const struct doc_fold *, const char *);
 /* Offsets of the kept records, the log's time now, longest age (0: any). */
-struct doc_edges {
+struct doc_stream_range {
 	uint64_t first;
 	uint64_t next;
 	msec wall;
@@ -136,9 +136,10 @@
  * a time saves appends.
  */
 struct doc_version *
-doc_fold_checkpoint_due(struct doc_fold *, const struct doc_edges *);
+doc_fold_checkpoint_due(struct doc_fold *, const struct doc_stream_range *);
 /* True when an index is due, for the same reasons. */
-bool doc_fold_index_due(const struct doc_fold *, const struct doc_edges *);
+bool
+doc_fold_index_due(const struct doc_fold *, const struct doc_stream_range *);
 
 /*
  * Export the whole fold for a starting node, and import such an export. An
--- a/document.c
+++ b/document.c
@@ -110,9 +110,10 @@
 const struct walk_schema document_schema = { "the document", 0,
 	(const struct walk_field[]){
 	    { "service", WALK_NAME, true, offsetof(struct document, service) },
-	    { "kind", WALK_CHOICE, .offset = offsetof(struct document, kind),
+	    { "kind", WALK_CHOICE_INDEX,
+		.offset = offsetof(struct document, kind),
 		.choices = kind_names },
-	    { "weighs", WALK_CHOICE,
+	    { "weighs", WALK_CHOICE_INDEX,
 		.offset = offsetof(struct document, weighs),
 		.choices = weighs_names },
 	    { "models", WALK_LIST, .offset = offsetof(struct document, models),
@@ -159,7 +160,7 @@
 	if (percent_parse(walk_text(node), &c->floor_permille))
 		return;
 	c->floor_permille = 0;
-	walk_add(w, node,
+	walk_add_finding(w, node,
 	    "floor: expected a percentage from 0%% to 100%% in steps of 0.1, "
 	    "got \"%s\"",
 	    walk_text(node));
@@ -177,7 +178,7 @@
 		return;
 	}
 	/* The text is not printed: it may be the key, pasted by mistake. */
-	walk_add(w, node,
+	walk_add_finding(w, node,
 	    "key_sha256: expected the %d lower-case hex digits of the key's "
 	    "SHA-256",
 	    SHA256_HEX_LEN);
@@ -195,7 +196,7 @@
 		g_strlcpy(t->match, s, sizeof t->match);
 		return;
 	}
-	walk_add(w, node,
+	walk_add_finding(w, node,
 	    "match: expected a pattern of at most %d of a-z 0-9 . _ - * ? "
 	    "[ ] !, got \"%s\"",
 	    NAME_LEN, s);
@@ -211,12 +212,12 @@
 	if (c->whole_answer == 0)
 		return;
 	if (c->first_token > c->whole_answer)
-		walk_add(w, walk_child(w, targets, "first_token_ms"),
+		walk_add_finding(w, walk_child(w, targets, "first_token_ms"),
 		    "first_token_ms: expected at most whole_answer_ms, %" PRId64
 		    ", got %" PRId64,
 		    c->whole_answer, c->first_token);
 	if (c->between_tokens > c->whole_answer)
-		walk_add(w, walk_child(w, targets, "between_tokens_ms"),
+		walk_add_finding(w, walk_child(w, targets, "between_tokens_ms"),
 		    "between_tokens_ms: expected at most whole_answer_ms, "
 		    "%" PRId64 ", got %" PRId64,
 		    c->whole_answer, c->between_tokens);
@@ -224,7 +225,7 @@
 
 /* The value of a key in item `i` of a top-level list, for a finding. */
 static yaml_node_t *
-place(struct walk *w, yaml_node_t *top, const char *list, unsigned int i,
+item_value(struct walk *w, yaml_node_t *top, const char *list, unsigned int i,
     const char *key)
 {
 	yaml_node_t *item = walk_item(w, walk_child(w, top, list), i);
@@ -238,19 +239,19 @@
  * when an earlier item had it. Empty values are ignored.
  */
 static void
-check_twice(struct walk *w, yaml_node_t *top, GHashTable *seen,
+check_duplicate(struct walk *w, yaml_node_t *top, GHashTable *seen,
     const char *list, unsigned int i, const char *key, const char *value)
 {
 	if (*value == '\0' || g_hash_table_add(seen, g_strdup(value)))
 		return;
 	if (strcmp(key, "key_sha256") == 0)
 		value = "this hash";
-	walk_add(w, place(w, top, list, i, key), "%s: %s appears twice in %s",
-	    key, value, list);
+	walk_add_finding(w, item_value(w, top, list, i, key),
+	    "%s: %s appears twice in %s", key, value, list);
 }
 
 static GHashTable *
-seen_new(void)
+string_set_new(void)
 {
 	return g_hash_table_new_full(g_str_hash, g_str_equal, g_free, NULL);
 }
@@ -258,32 +259,32 @@
 static void
 check_models(struct walk *w, yaml_node_t *top, const struct document *d)
 {
-	g_autoptr(GHashTable) seen = seen_new();
+	g_autoptr(GHashTable) seen = string_set_new();
 	yaml_node_t *node = walk_child(w, top, "models");
 	unsigned int i;
 
 	if (d->kind == SERVICE_MODEL && node == NULL)
-		walk_add(w, top,
+		walk_add_finding(w, top,
 		    "missing key \"models\" in the document of a model "
 		    "service");
 	if (d->kind == SERVICE_PLAIN && node != NULL)
-		walk_add(w, node, "models: a plain service has none");
+		walk_add_finding(w, node, "models: a plain service has none");
 	for (i = 0; i < d->nmodels; i++)
-		check_twice(
+		check_duplicate(
 		    w, top, seen, "models", i, "name", d->models[i].name);
 }
 
 static void
 check_orgs(struct walk *w, yaml_node_t *top, const struct document *d)
 {
-	g_autoptr(GHashTable) names = seen_new();
-	g_autoptr(GHashTable) keys = seen_new();
+	g_autoptr(GHashTable) names = string_set_new();
+	g_autoptr(GHashTable) keys = string_set_new();
 	unsigned int i;
 
 	for (i = 0; i < d->norgs; i++) {
-		check_twice(
+		check_duplicate(
 		    w, top, names, "organisations", i, "name", d->orgs[i].name);
-		check_twice(w, top, keys, "organisations", i, "key_sha256",
+		check_duplicate(w, top, keys, "organisations", i, "key_sha256",
 		    d->orgs[i].key_sha256);
 	}
 }
@@ -298,7 +299,7 @@
 		sum += d->classes[i].floor_permille;
 		if (sum <= PERMILLE)
 			continue;
-		walk_add(w, place(w, top, "classes", i, "floor"),
+		walk_add_finding(w, item_value(w, top, "classes", i, "floor"),
 		    "floor: expected at most 100%% over all classes, got "
 		    "%u.%u%% up to here",
 		    sum / 10, sum % 10);
@@ -322,7 +323,8 @@
 			other = &d->classes[j];
 			if (other->is_protected || other->tier >= c->tier)
 				continue;
-			walk_add(w, place(w, top, "classes", i, "tier"),
+			walk_add_finding(w,
+			    item_value(w, top, "classes", i, "tier"),
 			    "tier: expected a protected class in a tier no "
 			    "lower than unprotected \"%s\" in %u, got %u",
 			    other->name, other->tier, c->tier);
@@ -351,7 +353,8 @@
 			c->repeatable = d->kind == SERVICE_MODEL;
 		if (d->kind == SERVICE_PLAIN &&
 		    (c->first_token != 0 || c->between_tokens != 0))
-			walk_add(w, place(w, top, "classes", i, "targets"),
+			walk_add_finding(w,
+			    item_value(w, top, "classes", i, "targets"),
 			    "targets: a plain service has no tokens, expected "
 			    "only whole_answer_ms");
 	}
@@ -361,11 +364,11 @@
 check_document(struct walk *w, yaml_node_t *top, void *arg)
 {
 	struct document *d = arg;
-	g_autoptr(GHashTable) seen = seen_new();
+	g_autoptr(GHashTable) seen = string_set_new();
 	unsigned int i;
 
 	for (i = 0; i < d->nclasses; i++)
-		check_twice(
+		check_duplicate(
 		    w, top, seen, "classes", i, "name", d->classes[i].name);
 	check_models(w, top, d);
 	check_orgs(w, top, d);
--- a/savory-util.c
+++ b/savory-util.c
@@ -13,9 +13,9 @@
 #include <jansson.h>
 #include <xxhash.h>
 
-static GLogLevelFlags log_least = G_LOG_LEVEL_INFO;
+static GLogLevelFlags log_min_level = G_LOG_LEVEL_INFO;
 static bool log_json;
-static bool log_opened;
+static bool log_writer_is_set;
 
 static GLogWriterOutput
 log_write(GLogLevelFlags, const GLogField *, gsize, gpointer);
@@ -183,7 +183,7 @@
 	const char *part = log_field(fields, n, "GLIB_DOMAIN");
 	const char *text = log_field(fields, n, "MESSAGE");
 
-	if ((level & G_LOG_LEVEL_MASK) > log_least)
+	if ((level & G_LOG_LEVEL_MASK) > log_min_level)
 		return G_LOG_WRITER_HANDLED;
 	if (part == NULL)
 		part = "main";
@@ -200,18 +200,18 @@
 log_open(const char *level, bool json)
 {
 	if (strcmp(level, "debug") == 0)
-		log_least = G_LOG_LEVEL_DEBUG;
+		log_min_level = G_LOG_LEVEL_DEBUG;
 	else if (strcmp(level, "info") == 0)
-		log_least = G_LOG_LEVEL_INFO;
+		log_min_level = G_LOG_LEVEL_INFO;
 	else if (strcmp(level, "warning") == 0)
-		log_least = G_LOG_LEVEL_WARNING;
+		log_min_level = G_LOG_LEVEL_WARNING;
 	else
 		return false;
 	log_json = json;
 	/* GLib accepts a writer only once per process. */
-	if (!log_opened)
+	if (!log_writer_is_set)
 		g_log_set_writer_func(log_write, NULL, NULL);
-	log_opened = true;
+	log_writer_is_set = true;
 	return true;
 }
 
--- a/settings.c
+++ b/settings.c
@@ -35,12 +35,12 @@
 static void parse_metrics(struct walk *, const yaml_node_t *, void *);
 static void parse_store(struct walk *, const yaml_node_t *, void *);
 static void parse_seeds(struct walk *, const yaml_node_t *, void *);
-static void parse_duties(struct walk *, const yaml_node_t *, void *);
+static void parse_duties_address(struct walk *, const yaml_node_t *, void *);
 static void parse_usage_window_s(struct walk *, const yaml_node_t *, void *);
 static void parse_usage_lateness_s(struct walk *, const yaml_node_t *, void *);
 static void parse_stop_s(struct walk *, const yaml_node_t *, void *);
-static void parse_window_s(struct walk *, const yaml_node_t *, void *);
-static void parse_ratio(struct walk *, const yaml_node_t *, void *);
+static void parse_retry_window_s(struct walk *, const yaml_node_t *, void *);
+static void parse_retry_ratio(struct walk *, const yaml_node_t *, void *);
 static void check_platform(struct walk *, yaml_node_t *, void *);
 static void check_settings(struct walk *, yaml_node_t *, void *);
 
@@ -66,7 +66,7 @@
 	    { "log", WALK_CUSTOM, .parse = parse_log_url },
 	    { "vm_list", WALK_CUSTOM, .parse = parse_vm_list_url },
 	    { "weights", WALK_CUSTOM, .parse = parse_weight_url },
-	    { "log_keeps_ms", WALK_MSEC, .offset = AT(s.log_keeps),
+	    { "log_keeps_ms", WALK_MSEC, .offset = AT(s.log_retention),
 		.min = 2 * LEDGER_WINDOW,
 		.max = 366 * 24 * 3600 * MSEC_SECOND },
 	    { "store", WALK_CUSTOM, .parse = parse_store },
@@ -86,16 +86,16 @@
 		.min = 1, .max = 3600 * MSEC_SECOND },
 	    { "rewrite_ms", WALK_MSEC, .offset = AT(s.rewrite), .min = 0,
 		.max = 3600 * MSEC_SECOND },
-	    { "retry_ratio", WALK_CUSTOM, .parse = parse_ratio },
+	    { "retry_ratio", WALK_CUSTOM, .parse = parse_retry_ratio },
 	    { "retry_fixed", WALK_UINT, .offset = AT(s.retry_fixed), .min = 0,
 		.max = 1000000 },
-	    { "retry_window_s", WALK_CUSTOM, .parse = parse_window_s },
+	    { "retry_window_s", WALK_CUSTOM, .parse = parse_retry_window_s },
 	    { "stop_s", WALK_CUSTOM, .parse = parse_stop_s }, { NULL } } };
 
 /* Duties that one node at a time performs for all nodes. */
 static const struct walk_schema duties_schema = { "duties", 0,
 	(const struct walk_field[]){
-	    { "address", WALK_CUSTOM, true, .parse = parse_duties },
+	    { "address", WALK_CUSTOM, true, .parse = parse_duties_address },
 	    { "lease_ms", WALK_MSEC, .offset = AT(s.duty_lease), .min = 500,
 		.max = 600 * MSEC_SECOND },
 	    { "usage_window_s", WALK_CUSTOM, .parse = parse_usage_window_s },
@@ -114,9 +114,9 @@
 
 static const struct walk_schema log_schema = { "log", 0,
 	(const struct walk_field[]){
-	    { "level", WALK_WORD, .offset = AT(s.log_level),
+	    { "level", WALK_CHOICE_NAME, .offset = AT(s.log_level),
 		.choices = level_names },
-	    { "format", WALK_CHOICE, .offset = AT(log_format),
+	    { "format", WALK_CHOICE_INDEX, .offset = AT(log_format),
 		.choices = format_names },
 	    { NULL } } };
 
@@ -152,7 +152,7 @@
 	    { "peer_key", WALK_STRING, .offset = AT(s.peer_key) },
 	    { "peer_key_file", WALK_STRING, .offset = AT(peer_key_file) },
 	    { "log", WALK_MAP, .schema = &log_schema },
-	    { "policy", WALK_WORD, .offset = AT(s.policy),
+	    { "policy", WALK_CHOICE_NAME, .offset = AT(s.policy),
 		.choices = policy_names },
 	    { "stop_deadline_ms", WALK_MSEC, .offset = AT(s.stop_deadline),
 		.min = 0, .max = 24 * 3600 * MSEC_SECOND },
@@ -199,7 +199,7 @@
 	if (endpoint_parse(walk_text(node), e))
 		return;
 	*e = (struct endpoint){ 0 };
-	walk_add(w, node,
+	walk_add_finding(w, node,
 	    "expected an IPv4 number and a port like 192.0.2.1:8080, got "
 	    "\"%s\"",
 	    walk_text(node));
@@ -259,14 +259,14 @@
 		if (*g_strstrip(all[i]) == '\0')
 			continue;
 		if (s->nseeds == SETTINGS_SEEDS_MAX) {
-			walk_add(
+			walk_add_finding(
 			    w, node, "more than %d seeds", SETTINGS_SEEDS_MAX);
 			return;
 		}
 		if (endpoint_parse(all[i], &s->seeds[s->nseeds]))
 			s->nseeds++;
 		else
-			walk_add(w, node,
+			walk_add_finding(w, node,
 			    "expected an IPv4 number and a port like "
 			    "192.0.2.1:8080, got \"%s\"",
 			    all[i]);
@@ -274,7 +274,7 @@
 }
 
 static void
-parse_duties(struct walk *w, const yaml_node_t *node, void *arg)
+parse_duties_address(struct walk *w, const yaml_node_t *node, void *arg)
 {
 	parse_endpoint(w, node, &((struct settings_walk *)arg)->s.duties);
 }
@@ -291,7 +291,8 @@
 		*out = x;
 		return true;
 	}
-	walk_add(w, node, "expected a number from 0 to %g, got \"%s\"", max, s);
+	walk_add_finding(
+	    w, node, "expected a number from 0 to %g, got \"%s\"", max, s);
 	return false;
 }
 
@@ -324,13 +325,13 @@
 }
 
 static void
-parse_window_s(struct walk *w, const yaml_node_t *node, void *arg)
+parse_retry_window_s(struct walk *w, const yaml_node_t *node, void *arg)
 {
 	parse_seconds(w, node, &((struct settings_walk *)arg)->s.retry_window);
 }
 
 static void
-parse_ratio(struct walk *w, const yaml_node_t *node, void *arg)
+parse_retry_ratio(struct walk *w, const yaml_node_t *node, void *arg)
 {
 	double x;
 
@@ -350,7 +351,7 @@
 	if (uri == NULL || strcmp(g_uri_get_scheme(uri), "http") != 0 ||
 	    g_uri_get_host(uri) == NULL || *g_uri_get_host(uri) == '\0' ||
 	    g_uri_get_query(uri) != NULL || g_uri_get_fragment(uri) != NULL) {
-		walk_add(w, node,
+		walk_add_finding(w, node,
 		    "expected a URL like http://192.0.2.1:8080, got \"%s\"", s);
 		return;
 	}
@@ -409,23 +410,24 @@
 	g_autoptr(GError) error = NULL;
 
 	if (node == NULL && file == NULL) {
-		walk_add(w, top,
+		walk_add_finding(w, top,
 		    "missing key \"peer_key\" or \"peer_key_file\" in the "
 		    "settings");
 		return;
 	}
 	if (node != NULL && file != NULL) {
-		walk_add(
+		walk_add_finding(
 		    w, file, "expected only one of peer_key and peer_key_file");
 		return;
 	}
 	if (sw->peer_key_file != NULL) {
 		sw->s.peer_key = peer_key_read(w, sw->peer_key_file, &error);
 		if (error != NULL)
-			walk_add(w, file, "peer_key_file: %s", error->message);
+			walk_add_finding(
+			    w, file, "peer_key_file: %s", error->message);
 	}
 	if (sw->s.peer_key != NULL && strlen(sw->s.peer_key) < PEER_KEY_MIN)
-		walk_add(w, node != NULL ? node : file,
+		walk_add_finding(w, node != NULL ? node : file,
 		    "peer_key: expected %d bytes or more, got %zu",
 		    PEER_KEY_MIN, strlen(sw->s.peer_key));
 }
@@ -440,11 +442,11 @@
 	for (i = 0; i < G_N_ELEMENTS(keys); i++) {
 		if (walk_child(w, node, "store") != NULL &&
 		    walk_child(w, node, keys[i]) != NULL)
-			walk_add(w, walk_child(w, node, keys[i]),
+			walk_add_finding(w, walk_child(w, node, keys[i]),
 			    "%s: not with a store", keys[i]);
 		if (walk_child(w, node, "store") == NULL &&
 		    walk_child(w, node, keys[i]) == NULL)
-			walk_add(
+			walk_add_finding(
 			    w, node, "missing key \"%s\" in platform", keys[i]);
 	}
 }
@@ -455,9 +457,10 @@
 	if (s->store.port == 0 || listen == NULL)
 		return;
 	if (walk_child(w, listen, "ready") == NULL)
-		walk_add(w, listen, "missing key \"ready\" in listen");
+		walk_add_finding(w, listen, "missing key \"ready\" in listen");
 	if (walk_child(w, listen, "directory") == NULL)
-		walk_add(w, listen, "missing key \"directory\" in listen");
+		walk_add_finding(
+		    w, listen, "missing key \"directory\" in listen");
 }
 
 static void
@@ -470,7 +473,7 @@
 	check_peer_key(w, top, sw);
 	check_store(w, listen, &sw->s);
 	if (a->port != 0 && a->address == b->address && a->port == b->port)
-		walk_add(w, walk_child(w, listen, "control"),
+		walk_add_finding(w, walk_child(w, listen, "control"),
 		    "expected another address than caller's");
 }
 
@@ -481,7 +484,7 @@
 	g_strlcpy(s->log_level, "info", sizeof s->log_level);
 	g_strlcpy(s->policy, "owner", sizeof s->policy);
 	s->leave_grace = 3 * MSEC_SECOND;
-	s->log_keeps = 24 * 3600 * MSEC_SECOND;
+	s->log_retention = 24 * 3600 * MSEC_SECOND;
 	s->keys_bound = 5 * MSEC_SECOND;
 	s->change_bound = 2 * MSEC_SECOND;
 	s->rewrite = 5 * MSEC_SECOND;
--- a/settings.h
+++ b/settings.h
@@ -31,7 +31,7 @@
 	unsigned int nseeds;
 	unsigned int seeds_port; /* replaces the seeds' ports; 0: none */
 	char *log_url;		 /* log service, without last / */
-	msec log_keeps;		 /* how long the log keeps records */
+	msec log_retention;	 /* how long the log keeps records */
 	char *vm_list_url;
 	char *weight_url;
 	char *peer_key; /* HMAC key, 16 bytes or more */
--- a/tests/test-doc-fold.c
+++ b/tests/test-doc-fold.c
@@ -386,7 +386,7 @@
 	 * the log drops it. Unless a checkpoint is written first, a VM that
 	 * starts afterwards finds no document.
 	 */
-	struct doc_edges e = { 1, 2, 1001, 10000 };
+	struct doc_stream_range e = { 1, 2, 1001, 10000 };
 	struct stream s = { 0 };
 	struct doc_fold f;
 	struct doc_version *v;
@@ -582,7 +582,7 @@
 		g_assert_nonnull(w);
 		g_assert_cmpuint(v->version, ==, w->version);
 		g_assert_cmpstr(v->text, ==, w->text);
-		g_assert_cmpuint(v->nseen, ==, w->nseen);
+		g_assert_cmpuint(v->njudged_ids, ==, w->njudged_ids);
 	}
 	if (doc_fold_exact(f))
 		g_assert_cmpuint(doc_fold_sum(f), ==, doc_fold_sum(&full));
--- a/tests/test-settings.c
+++ b/tests/test-settings.c
@@ -112,7 +112,7 @@
 	g_assert_cmpint(s.stop_deadline, ==, 0);
 	g_assert_cmpint(s.leave_grace, ==, 3000);
 	g_assert_cmpint(s.keep_answers, ==, 30000);
-	g_assert_cmpint(s.log_keeps, ==, 86400000);
+	g_assert_cmpint(s.log_retention, ==, 86400000);
 	g_assert_cmpuint(s.max_connections, ==, 4096);
 	g_assert_cmpuint(s.max_body_bytes, ==, 1048576);
 	g_assert_cmpuint(s.caller_threads, ==, 2);
--- a/yaml-walk.c
+++ b/yaml-walk.c
@@ -21,32 +21,32 @@
 	const char *file;
 	struct findings found;
 	unsigned int visits;
-	bool dropped; /* findings were dropped or the walk ended at a bound */
+	bool truncated; /* findings were dropped or the walk ended at a bound */
 };
 
 /* Counts over the events of a file. */
-struct walk_tally {
+struct walk_event_counts {
 	unsigned int events;
 	unsigned int anchors;
 	unsigned int documents;
 	unsigned int depth;
 };
 
-static void walk_add_at(struct walk *, unsigned int, unsigned int, const char *,
-    ...) __attribute__((format(printf, 4, 5)));
-static void walk_vadd(struct walk *, unsigned int, unsigned int, const char *,
-    va_list) __attribute__((format(printf, 4, 0)));
+static void walk_add_finding_at(struct walk *, unsigned int, unsigned int,
+    const char *, ...) __attribute__((format(printf, 4, 5)));
+static void walk_add_finding_va(struct walk *, unsigned int, unsigned int,
+    const char *, va_list) __attribute__((format(printf, 4, 0)));
 static void
 walk_map(struct walk *, const struct walk_schema *, yaml_node_t *, void *);
 
 static void
-walk_vadd(struct walk *w, unsigned int line, unsigned int column,
+walk_add_finding_va(struct walk *w, unsigned int line, unsigned int column,
     const char *fmt, va_list ap)
 {
 	g_autofree char *text = NULL;
 
 	if (w->found.count >= WALK_FINDINGS_MAX) {
-		w->dropped = true;
+		w->truncated = true;
 		return;
 	}
 	text = g_strdup_vprintf(fmt, ap);
@@ -54,23 +54,23 @@
 }
 
 static void
-walk_add_at(struct walk *w, unsigned int line, unsigned int column,
+walk_add_finding_at(struct walk *w, unsigned int line, unsigned int column,
     const char *fmt, ...)
 {
 	va_list ap;
 
 	va_start(ap, fmt);
-	walk_vadd(w, line, column, fmt, ap);
+	walk_add_finding_va(w, line, column, fmt, ap);
 	va_end(ap);
 }
 
 void
-walk_add(struct walk *w, const yaml_node_t *node, const char *fmt, ...)
+walk_add_finding(struct walk *w, const yaml_node_t *node, const char *fmt, ...)
 {
 	va_list ap;
 
 	va_start(ap, fmt);
-	walk_vadd(
+	walk_add_finding_va(
 	    w, node->start_mark.line + 1, node->start_mark.column + 1, fmt, ap);
 	va_end(ap);
 }
@@ -120,7 +120,7 @@
 
 /* Levenshtein distance of two strings of at most NAME_LEN bytes. */
 static unsigned int
-word_distance(const char *a, const char *b)
+edit_distance(const char *a, const char *b)
 {
 	unsigned int row[NAME_SIZE + 1];
 	unsigned int i, j, corner, up;
@@ -151,7 +151,7 @@
 	unsigned int d, least = WALK_HINT_EDITS + 1;
 
 	for (f = fields; f->key != NULL; f++) {
-		d = word_distance(key, f->key);
+		d = edit_distance(key, f->key);
 		if (d < least && d < strlen(f->key)) {
 			least = d;
 			best = f->key;
@@ -174,7 +174,7 @@
 
 /* Count one more node. False when the walk has visited too many. */
 static bool
-walk_visit(struct walk *w, const yaml_node_t *node)
+walk_count_visit(struct walk *w, const yaml_node_t *node)
 {
 	if (w->visits >= WALK_VISITS_MAX) {
 		/* Added even above WALK_FINDINGS_MAX, because it ends the walk.
@@ -217,14 +217,14 @@
 		[YAML_MAPPING_NODE] = YAML_DEFAULT_MAPPING_TAG };
 
 	if (node->type != type) {
-		walk_add(w, node, "%s: expected %s, got %s", key, what,
+		walk_add_finding(w, node, "%s: expected %s, got %s", key, what,
 		    node_kind(node));
 		return false;
 	}
 	if (node->tag != NULL &&
 	    strcmp((const char *)node->tag, tags[type]) != 0) {
-		walk_add(w, node, "%s: expected no tag, got \"%s\"", key,
-		    (const char *)node->tag);
+		walk_add_finding(w, node, "%s: expected no tag, got \"%s\"",
+		    key, (const char *)node->tag);
 		return false;
 	}
 	return true;
@@ -248,7 +248,7 @@
     char *out)
 {
 	if (!scalar_is_string(node) || !name_valid(walk_text(node))) {
-		walk_add(w, node,
+		walk_add_finding(w, node,
 		    "%s: expected a name of at most %d of a-z 0-9 . _ - that "
 		    "starts with a letter or digit",
 		    f->key, NAME_LEN);
@@ -262,7 +262,7 @@
     char **out)
 {
 	if (!scalar_is_string(node) || *walk_text(node) == '\0') {
-		walk_add(
+		walk_add_finding(
 		    w, node, "%s: expected text that is not empty", f->key);
 		return;
 	}
@@ -281,8 +281,8 @@
 			return i;
 	}
 	all = g_strjoinv(", ", (char **)f->choices);
-	walk_add(w, node, "%s: expected one of %s, got \"%s\"", f->key, all,
-	    walk_text(node));
+	walk_add_finding(w, node, "%s: expected one of %s, got \"%s\"", f->key,
+	    all, walk_text(node));
 	return -1;
 }
 
@@ -298,12 +298,13 @@
 	n = strtoll(s, &end, 10);
 	if (!scalar_is_plain(node) || end == s || *end != '\0' ||
 	    g_ascii_isspace(*s) || errno == EINVAL) {
-		walk_add(w, node, "%s: expected a whole number, got %s\"%s\"",
-		    f->key, scalar_is_plain(node) ? "" : "text ", s);
+		walk_add_finding(w, node,
+		    "%s: expected a whole number, got %s\"%s\"", f->key,
+		    scalar_is_plain(node) ? "" : "text ", s);
 		return false;
 	}
 	if (errno == ERANGE || n < f->min || n > f->max) {
-		walk_add(w, node,
+		walk_add_finding(w, node,
 		    "%s: expected a number from %" PRId64 " to %" PRId64
 		    ", got %s",
 		    f->key, f->min, f->max, s);
@@ -324,8 +325,8 @@
 	else if (scalar_is_plain(node) && strcmp(s, "false") == 0)
 		*out = false;
 	else
-		walk_add(w, node, "%s: expected true or false, got \"%s\"",
-		    f->key, s);
+		walk_add_finding(w, node,
+		    "%s: expected true or false, got \"%s\"", f->key, s);
 }
 
 static void
@@ -343,11 +344,11 @@
 	case WALK_STRING:
 		walk_string(w, f, node, (char **)(void *)at);
 		break;
-	case WALK_WORD:
+	case WALK_CHOICE_NAME:
 		if ((i = walk_choice(w, f, node)) != -1)
-			g_strlcpy(at, f->choices[i], WALK_WORD_SIZE);
+			g_strlcpy(at, f->choices[i], WALK_CHOICE_NAME_SIZE);
 		break;
-	case WALK_CHOICE:
+	case WALK_CHOICE_INDEX:
 		if ((i = walk_choice(w, f, node)) != -1)
 			*(unsigned int *)(void *)at = i;
 		break;
@@ -366,8 +367,8 @@
 		if (scalar_is_string(node))
 			f->parse(w, node, base);
 		else
-			walk_add(w, node, "%s: expected text without \"\\0\"",
-			    f->key);
+			walk_add_finding(w, node,
+			    "%s: expected text without \"\\0\"", f->key);
 		break;
 	}
 }
@@ -383,7 +384,7 @@
 
 	n = node->data.sequence.items.top - node->data.sequence.items.start;
 	if (n < f->min || n > f->max) {
-		walk_add(w, node,
+		walk_add_finding(w, node,
 		    "%s: expected %" PRId64 " to %" PRId64 " items, got %u",
 		    f->key, f->min, f->max, n);
 		n = MIN(n, f->max);
@@ -399,7 +400,7 @@
 walk_value(
     struct walk *w, const struct walk_field *f, yaml_node_t *node, void *base)
 {
-	if (!walk_visit(w, node))
+	if (!walk_count_visit(w, node))
 		return;
 	if (f->type == WALK_MAP) {
 		walk_map(w, f->schema, node, (char *)base + f->offset);
@@ -423,25 +424,25 @@
 	const char *near;
 
 	if (key->type != YAML_SCALAR_NODE || !scalar_is_string(key)) {
-		walk_add(w, key, "expected a key of %s, got %s", schema->what,
-		    node_kind(key));
+		walk_add_finding(w, key, "expected a key of %s, got %s",
+		    schema->what, node_kind(key));
 		return NULL;
 	}
 	if (!g_hash_table_add(seen, (gpointer)walk_text(key))) {
-		walk_add(w, key, "\"%s\" appears twice in %s", walk_text(key),
-		    schema->what);
+		walk_add_finding(w, key, "\"%s\" appears twice in %s",
+		    walk_text(key), schema->what);
 		return NULL;
 	}
 	if ((f = field_find(schema->fields, walk_text(key))) != NULL)
 		return f;
 	near = field_nearest(schema->fields, walk_text(key));
 	if (near != NULL)
-		walk_add(w, key,
+		walk_add_finding(w, key,
 		    "unknown key \"%s\" in %s, did you mean \"%s\"?",
 		    walk_text(key), schema->what, near);
 	else
-		walk_add(w, key, "unknown key \"%s\" in %s", walk_text(key),
-		    schema->what);
+		walk_add_finding(w, key, "unknown key \"%s\" in %s",
+		    walk_text(key), schema->what);
 	return NULL;
 }
 
@@ -453,8 +454,8 @@
 
 	for (f = schema->fields; f->key != NULL; f++) {
 		if (f->required && !g_hash_table_contains(seen, f->key))
-			walk_add(w, node, "missing key \"%s\" in %s", f->key,
-			    schema->what);
+			walk_add_finding(w, node, "missing key \"%s\" in %s",
+			    f->key, schema->what);
 	}
 }
 
@@ -467,7 +468,7 @@
 	yaml_node_pair_t *pair;
 	yaml_node_t *key;
 
-	if (!walk_visit(w, node))
+	if (!walk_count_visit(w, node))
 		return;
 	if (!walk_expect(w, node, YAML_MAPPING_NODE, schema->what, "a map"))
 		return;
@@ -475,7 +476,7 @@
 	for (pair = node->data.mapping.pairs.start;
 	     pair < node->data.mapping.pairs.top; pair++) {
 		key = yaml_document_get_node(&w->doc, pair->key);
-		if (!walk_visit(w, key))
+		if (!walk_count_visit(w, key))
 			return;
 		f = walk_key(w, schema, key, seen);
 		if (f != NULL)
@@ -499,14 +500,14 @@
 
 /* Adds a finding for an invalid character. */
 static bool
-walk_char(struct walk *w, gunichar c, unsigned char byte, unsigned int line,
-    unsigned int column)
+walk_check_char(struct walk *w, gunichar c, unsigned char byte,
+    unsigned int line, unsigned int column)
 {
 	if (c == (gunichar)-1 || c == (gunichar)-2)
-		walk_add_at(w, line, column,
+		walk_add_finding_at(w, line, column,
 		    "expected UTF-8, got the byte 0x%02x", byte);
 	else if (!char_is_allowed(c))
-		walk_add_at(w, line, column,
+		walk_add_finding_at(w, line, column,
 		    "expected text, got the control character U+%04X", c);
 	else
 		return true;
@@ -519,7 +520,7 @@
  * behind it.
  */
 static GString *
-walk_clean(struct walk *w, const char *text, size_t len)
+walk_sanitize(struct walk *w, const char *text, size_t len)
 {
 	GString *copy = g_string_sized_new(len + 1);
 	const char *p = text, *end = text + len;
@@ -530,7 +531,7 @@
 	while (p < end) {
 		c = g_utf8_get_char_validated(p, end - p);
 		n = c >= (gunichar)-2 ? 1 : g_utf8_skip[(unsigned char)*p];
-		if (walk_char(w, c, *p, line, column))
+		if (walk_check_char(w, c, *p, line, column))
 			g_string_append_len(copy, p, n);
 		else
 			g_string_append_c(copy, 'x');
@@ -545,9 +546,9 @@
 }
 
 static void
-walk_syntax(struct walk *w, const yaml_parser_t *parser)
+walk_add_syntax_error(struct walk *w, const yaml_parser_t *parser)
 {
-	walk_add_at(w, parser->problem_mark.line + 1,
+	walk_add_finding_at(w, parser->problem_mark.line + 1,
 	    parser->problem_mark.column + 1, "not YAML: %s%s%s",
 	    parser->problem != NULL ? parser->problem : "unreadable",
 	    parser->context != NULL ? " " : "",
@@ -578,7 +579,7 @@
 }
 
 static void
-tally_add(struct walk_tally *t, const yaml_event_t *event)
+event_counts_add(struct walk_event_counts *t, const yaml_event_t *event)
 {
 	t->events++;
 	t->anchors += event_anchor(event) != NULL;
@@ -593,24 +594,24 @@
 
 /* Checks the counts against the bounds. False after a finding. */
 static bool
-walk_bound(
-    struct walk *w, const struct walk_tally *t, const yaml_event_t *event)
+walk_check_bounds(struct walk *w, const struct walk_event_counts *t,
+    const yaml_event_t *event)
 {
 	unsigned int line = event->start_mark.line + 1;
 	unsigned int column = event->start_mark.column + 1;
 
 	if (t->documents > 1)
-		walk_add_at(
+		walk_add_finding_at(
 		    w, line, column, "expected one document, got a second one");
 	else if (t->depth > WALK_DEPTH_MAX)
-		walk_add_at(w, line, column,
+		walk_add_finding_at(w, line, column,
 		    "nested too deep, expected at most %d levels",
 		    WALK_DEPTH_MAX);
 	else if (t->events > WALK_VISITS_MAX)
-		walk_add_at(w, line, column,
+		walk_add_finding_at(w, line, column,
 		    "too many values, expected at most %d", WALK_VISITS_MAX);
 	else if (t->anchors > WALK_ANCHORS_MAX)
-		walk_add_at(w, line, column,
+		walk_add_finding_at(w, line, column,
 		    "too many anchors, expected at most %d", WALK_ANCHORS_MAX);
 	else
 		return true;
@@ -619,9 +620,9 @@
 
 /* Parses the events. True when they are one document within the bounds. */
 static bool
-walk_prove(struct walk *w, const char *text, size_t len)
+walk_check_events(struct walk *w, const char *text, size_t len)
 {
-	struct walk_tally t = { 0 };
+	struct walk_event_counts t = { 0 };
 	yaml_parser_t parser;
 	yaml_event_t event;
 	bool ok = true, end = false;
@@ -629,18 +630,19 @@
 	walk_parser_init(&parser, text, len);
 	while (ok && !end) {
 		if (!yaml_parser_parse(&parser, &event)) {
-			walk_syntax(w, &parser);
+			walk_add_syntax_error(w, &parser);
 			ok = false;
 			break;
 		}
 		end = event.type == YAML_STREAM_END_EVENT;
-		tally_add(&t, &event);
-		ok = walk_bound(w, &t, &event);
+		event_counts_add(&t, &event);
+		ok = walk_check_bounds(w, &t, &event);
 		yaml_event_delete(&event);
 	}
 	yaml_parser_delete(&parser);
 	if (ok && t.documents == 0) {
-		walk_add_at(w, 1, 1, "expected a map, got an empty file");
+		walk_add_finding_at(
+		    w, 1, 1, "expected a map, got an empty file");
 		return false;
 	}
 	return ok;
@@ -652,12 +654,12 @@
 {
 	yaml_parser_t parser;
 
-	if (!walk_prove(w, text, len))
+	if (!walk_check_events(w, text, len))
 		return;
 	walk_parser_init(&parser, text, len);
 	/* Only loading detects undefined aliases and duplicate anchors. */
 	if (!yaml_parser_load(&parser, &w->doc)) {
-		walk_syntax(w, &parser);
+		walk_add_syntax_error(w, &parser);
 		yaml_parser_delete(&parser);
 		return;
 	}
@@ -681,7 +683,7 @@
 
 /* Adds the findings to `out` in the order of the file. */
 static void
-walk_report(struct walk *w, struct findings *out)
+walk_copy_findings(struct walk *w, struct findings *out)
 {
 	g_autofree struct finding **all = NULL;
 	struct finding *one;
@@ -694,7 +696,7 @@
 	for (i = 0; i < n; i++)
 		findings_add(out, w->file, all[i]->line, all[i]->column, "%s",
 		    all[i]->text);
-	if (w->dropped)
+	if (w->truncated)
 		findings_add(out, w->file, 0, 0,
 		    "more findings than the %d shown", WALK_FINDINGS_MAX);
 }
@@ -709,16 +711,16 @@
 
 	findings_init(&w.found);
 	if (len > max) {
-		walk_add_at(&w, 0, 0,
+		walk_add_finding_at(&w, 0, 0,
 		    "too large, expected at most %zu bytes, got %zu", max, len);
 	} else {
-		clean = walk_clean(&w, text, len);
+		clean = walk_sanitize(&w, text, len);
 		walk_document(&w, schema, base, clean->str, clean->len);
 		g_string_free(clean, TRUE);
 	}
 	n = w.found.count;
 	log_debug("%s: %u findings in %zu bytes", file, n, len);
-	walk_report(&w, out);
+	walk_copy_findings(&w, out);
 	findings_finish(&w.found);
 	return n == 0;
 }
--- a/yaml-walk.h
+++ b/yaml-walk.h
@@ -23,20 +23,20 @@
 /* libyaml searches anchors linearly, so their cost is quadratic. */
 #define WALK_ANCHORS_MAX 256
 
-/* Size of a WALK_WORD field, including the NUL. */
-#define WALK_WORD_SIZE 16
+/* Size of a WALK_CHOICE_NAME field, including the NUL. */
+#define WALK_CHOICE_NAME_SIZE 16
 
 enum walk_type {
-	WALK_NAME,   /* char[NAME_SIZE], by name_valid() */
-	WALK_STRING, /* char *, not empty */
-	WALK_WORD,   /* char[WALK_WORD_SIZE], one of the choices */
-	WALK_CHOICE, /* an enum, by the index of the choice */
-	WALK_UINT,   /* unsigned int */
-	WALK_MSEC,   /* msec */
-	WALK_BOOL,   /* bool */
-	WALK_CUSTOM, /* scalar, by parse() */
-	WALK_MAP,    /* a map into a struct at the offset */
-	WALK_LIST    /* of maps; an array at the offset */
+	WALK_NAME,	   /* char[NAME_SIZE], by name_valid() */
+	WALK_STRING,	   /* char *, not empty */
+	WALK_CHOICE_NAME,  /* char[WALK_CHOICE_NAME_SIZE], one of the choices */
+	WALK_CHOICE_INDEX, /* an enum, by the index of the choice */
+	WALK_UINT,	   /* unsigned int */
+	WALK_MSEC,	   /* msec */
+	WALK_BOOL,	   /* bool */
+	WALK_CUSTOM,	   /* scalar, by parse() */
+	WALK_MAP,	   /* a map into a struct at the offset */
+	WALK_LIST	   /* of maps; an array at the offset */
 };
 
 struct walk;
@@ -72,7 +72,7 @@
     const char *, struct findings *);
 
 /* For parse() and check(): add a finding at a node. */
-void walk_add(struct walk *, const yaml_node_t *, const char *, ...)
+void walk_add_finding(struct walk *, const yaml_node_t *, const char *, ...)
     __attribute__((format(printf, 3, 4)));
 /* The value of a key in a map, or NULL. */
 yaml_node_t *walk_child(struct walk *, const yaml_node_t *, const char *);
