--- a/cmd-publish.c
+++ b/cmd-publish.c
@@ -215,8 +215,9 @@
 	if ((p->base = publish_query_version(c, p->service)) != 0)
 		return true;
 	cmd_print_message(
-	    "the log has deleted the version of %s that is in force: give "
-	    "--base, or --control to query a node; nothing published",
+	    "the log has deleted records, so the version of %s in force is "
+	    "unknown: give --base, or --control to query a node; nothing "
+	    "published",
 	    p->service);
 	return false;
 }
--- a/cmd-send.c
+++ b/cmd-send.c
@@ -334,7 +334,7 @@
 		cmd_print_message(
 		    "%s", s.error != NULL ? s.error : error->message);
 	cmd_print_message("status %ld, outcome %s%s%s", status,
-	    *s.outcome != '\0' ? s.outcome : "not told",
+	    *s.outcome != '\0' ? s.outcome : "not reported",
 	    *s.code != '\0' ? ", code " : "", s.code);
 	headers_finish(&headers);
 	send_stream_finish(&s);
--- a/doc-fold.c
+++ b/doc-fold.c
@@ -374,9 +374,9 @@
  * Handles two failures. A checkpoint is delayed past a new edit, and applying
  * it would restore the older document: an edit after its `at` makes it an
  * open one, whose version a fold may hold but not as exact. Or records between
- * its `at` and this fold's start are gone, and one of them may be an edit: then
- * it is open too. A closed checkpoint states what is in force at this offset,
- * so it agrees with every exact fold.
+ * its `at` and this fold's start are deleted, and one of them may be an edit:
+ * then it is open too. A closed checkpoint states what is in force at this
+ * offset, so it agrees with every exact fold.
  */
 static enum doc_verdict
 snapshot_apply(struct doc_fold *f, const struct doc_snapshot *c, bool is_exact)
--- a/doc-fold.h
+++ b/doc-fold.h
@@ -44,8 +44,8 @@
 	DOC_CONFLICT,	/* its base was not in force; another edit won */
 	DOC_REPEATED,	/* an edit with this id was judged before */
 	DOC_REFUSED,	/* the text has findings */
-	DOC_CHECKPOINT, /* a checkpoint or index that changed the fold */
-	DOC_STALE,	/* a checkpoint or index that changed nothing */
+	DOC_CHECKPOINT, /* a checkpoint or index with new information */
+	DOC_STALE,	/* a checkpoint or index without any */
 	DOC_UNKNOWN,	/* an edit that needs missing earlier records */
 	DOC_SKIPPED	/* unknown kind, format, malformed or already folded */
 };
@@ -72,14 +72,14 @@
 	msec anchor_wall;   /* time of the record that makes it exact */
 	struct doc_edit_id_list judged_ids;
 	unsigned int njudged_ids;
-	bool listed_by_index; /* by an index; the document is not read yet */
+	bool listed_by_index; /* while the document is not read yet */
 };
 RB_HEAD(doc_version_tree, doc_version);
 
 /* All services as of offset `next`; `counts` by enum doc_verdict. */
 struct doc_fold {
 	struct doc_version_tree services; /* with a document */
-	struct doc_version_tree unknown;  /* without one; version is 0 */
+	struct doc_version_tree unknown;  /* not read yet; version is 0 */
 	uint64_t next;			  /* offset to read from */
 	uint64_t read_from;    /* every record from here to `next` was read */
 	bool complete;	       /* a service not in the tree does not exist */
--- a/savorypierd.c
+++ b/savorypierd.c
@@ -173,7 +173,7 @@
 		return EXIT_FAILURE;
 	main_stop(d);
 	curl_global_cleanup();
-	log_info("stopped");
+	log_info("ended");
 	return EXIT_SUCCESS;
 }
 
--- a/settings.h
+++ b/settings.h
@@ -39,7 +39,7 @@
 	bool log_json;
 	char policy[16];    /* dispatch policy; "owner" */
 	msec stop_deadline; /* 0: wait for every answer */
-	msec leave_grace;   /* when leaving: time before refusing requests */
+	msec leave_grace;   /* time from leaving to refusing requests */
 	msec keep_answers;  /* for retries with an idempotency key */
 	unsigned int max_connections;
 	unsigned int max_body_bytes;
@@ -54,7 +54,7 @@
 	unsigned int retry_fixed;    /* plus so many for all nodes together */
 	msec retry_window;
 	/* Duties that one node at a time has; port 0: there are none. */
-	struct endpoint duties; /* address of their calls */
+	struct endpoint duties; /* address that their calls are sent to */
 	msec duty_lease;
 	msec usage_window; /* 0: usage is not reported */
 	msec usage_lateness;
--- a/yaml-walk.c
+++ b/yaml-walk.c
@@ -13,7 +13,7 @@
 #include <stdlib.h>
 #include <string.h>
 
-/* Largest edit distance to a known key that an unknown one gets a hint for. */
+/* Largest edit distance at which an unknown key gets a hint to a known one. */
 #define WALK_HINT_EDITS 2
 
 struct walk {
