--- a/tests/test-answer.c
+++ b/tests/test-answer.c
@@ -9,7 +9,7 @@
 
 #define ATTEMPT 1
 /* The largest block, in bytes, that libcurl passes to its write callback. */
-#define DELIVERY (16 * 1024)
+#define CURL_BLOCK_BYTES (16 * 1024)
 
 static unsigned int unpaused;
 
@@ -20,7 +20,7 @@
 }
 
 static void
-setup(struct answer *a)
+start_answer(struct answer *a)
 {
 	answer_init(a, NULL);
 	answer_set_attempt(a, ATTEMPT);
@@ -28,7 +28,7 @@
 }
 
 static void
-put(struct answer *a, size_t n)
+put_bytes(struct answer *a, size_t n)
 {
 	static const char bytes[ANSWER_PAUSE_BYTES];
 
@@ -47,11 +47,11 @@
 {
 	struct answer a;
 
-	setup(&a);
-	put(&a, ANSWER_PAUSE_BYTES - 10);
+	start_answer(&a);
+	put_bytes(&a, ANSWER_PAUSE_BYTES - 10);
 	g_assert_cmpint(answer_check_room(&a, ATTEMPT), ==, ANSWER_ACCEPTED);
-	put(&a, 100);
-	put(&a, 200);
+	put_bytes(&a, 100);
+	put_bytes(&a, 200);
 	g_assert_cmpuint(a.len - a.at, ==, ANSWER_PAUSE_BYTES + 290);
 	answer_finish(&a);
 }
@@ -63,15 +63,16 @@
 	struct answer a;
 	unsigned int i;
 
-	setup(&a);
+	start_answer(&a);
 	for (i = 0; answer_check_room(&a, ATTEMPT) == ANSWER_ACCEPTED; i++) {
-		g_assert_cmpuint(i, <, 2 * ANSWER_PAUSE_BYTES / DELIVERY);
-		put(&a, DELIVERY);
+		g_assert_cmpuint(
+		    i, <, 2 * ANSWER_PAUSE_BYTES / CURL_BLOCK_BYTES);
+		put_bytes(&a, CURL_BLOCK_BYTES);
 	}
 	g_assert_cmpint(answer_check_room(&a, ATTEMPT), ==, ANSWER_PAUSE);
 	g_assert_true(a.paused);
 	g_assert_cmpuint(
-	    answer_buffered(&a), <=, ANSWER_PAUSE_BYTES + DELIVERY);
+	    answer_buffered(&a), <=, ANSWER_PAUSE_BYTES + CURL_BLOCK_BYTES);
 	answer_finish(&a);
 }
 
@@ -81,7 +82,7 @@
 {
 	struct answer a;
 
-	setup(&a);
+	start_answer(&a);
 	answer_set_attempt(&a, ATTEMPT + 1);
 	g_assert_cmpint(answer_check_room(&a, ATTEMPT), ==, ANSWER_DROP);
 	g_assert_cmpint(answer_put(&a, ATTEMPT, "x", 1, true), ==, ANSWER_DROP);
--- a/tests/test-capacity.c
+++ b/tests/test-capacity.c
@@ -13,10 +13,10 @@
 #include <string.h>
 
 #define DOMAINS 3
-#define MOST 40
-#define BOOT 4000
-#define STEP 100
-#define PRICE 0.2
+#define SERVERS_MAX 40
+#define BOOT_MS 4000
+#define STEP_MS 100
+#define RECLAIMABLE_PRICE 0.2
 
 struct late_order {
 	msec at;
@@ -25,14 +25,15 @@
 };
 
 /* The platform's servers of one kind in one domain. */
-struct site {
-	unsigned int ready, booting[BOOT / STEP + 1]; /* by steps until ready */
-	msec none_until; /* no new server until then */
+struct server_pool {
+	unsigned int ready,
+	    booting[BOOT_MS / STEP_MS + 1]; /* by steps until ready */
+	msec unavailable_until;		    /* no new server until then */
 };
 
 struct world {
 	struct capacity c;
-	struct site sites[DOMAINS][CAPACITY_KINDS];
+	struct server_pool pools[DOMAINS][CAPACITY_KINDS];
 	msec now;
 	unsigned int
 	    visible; /* known servers of each kind in a domain, at most */
@@ -40,17 +41,17 @@
 	double tokens, urgent; /* total so far */
 	GQueue late;
 	GRand *rand;
-	unsigned int lose_percent, orders;
-	unsigned int changed; /* servers added or removed by orders */
-	bool silent;	      /* coordinators report no demand */
-	bool reading;	      /* not all servers are known yet */
+	unsigned int lost_percent, orders;
+	unsigned int servers_changed; /* servers added or removed by orders */
+	bool no_reports;	      /* coordinators report no demand */
+	bool servers_incomplete;      /* not all servers are known yet */
 };
 
 static const char *const domain_names[DOMAINS] = { "hall-a", "hall-b",
 	"hall-c" };
 
 static unsigned int
-site_booting(const struct site *s)
+pool_booting(const struct server_pool *s)
 {
 	unsigned int i, n = 0;
 
@@ -60,12 +61,12 @@
 }
 
 static void
-site_set(struct site *s, unsigned int count)
+pool_set_count(struct server_pool *s, unsigned int count)
 {
-	unsigned int have = s->ready + site_booting(s), i;
+	unsigned int have = s->ready + pool_booting(s), i;
 
 	if (count > have) {
-		s->booting[BOOT / STEP] += count - have;
+		s->booting[BOOT_MS / STEP_MS] += count - have;
 		return;
 	}
 	have -= count;
@@ -83,12 +84,12 @@
     unsigned int domain, enum capacity_kind kind, unsigned int count)
 {
 	struct world *w = c->arg;
-	struct site *site = &w->sites[domain][kind];
+	struct server_pool *server_pool = &w->pools[domain][kind];
 	struct late_order *late;
 
 	g_assert_cmpuint(domain, <, DOMAINS);
 	w->orders++;
-	if (g_rand_int_range(w->rand, 0, 100) < (gint32)w->lose_percent) {
+	if (g_rand_int_range(w->rand, 0, 100) < (gint32)w->lost_percent) {
 		late = g_new(struct late_order, 1);
 		*late = (struct late_order){ w->now + g_rand_int_range(
 							  w->rand, 1000, 8000),
@@ -98,14 +99,15 @@
 		    c, w->now, s->id, domain, kind, count, CAPACITY_NO_ANSWER);
 		return;
 	}
-	if (w->now < site->none_until && count > site->ready) {
+	if (w->now < server_pool->unavailable_until &&
+	    count > server_pool->ready) {
 		capacity_ordered(c, w->now, s->id, domain, kind, count,
 		    CAPACITY_UNAVAILABLE);
 		return;
 	}
-	w->changed += (unsigned int)abs(
-	    (int)count - (int)(site->ready + site_booting(site)));
-	site_set(site, count);
+	w->servers_changed += (unsigned int)abs(
+	    (int)count - (int)(server_pool->ready + pool_booting(server_pool)));
+	pool_set_count(server_pool, count);
 	capacity_ordered(
 	    c, w->now, s->id, domain, kind, count, CAPACITY_ACCEPTED);
 }
@@ -113,12 +115,12 @@
 static const struct capacity_ops ops = { op_order };
 
 static void
-world_terms(struct world *w, double price, unsigned int maximum)
+world_set_terms(struct world *w, double price, unsigned int maximum)
 {
 	struct capacity_config t = { .name = "model",
 		.minimum = 1,
 		.maximum = maximum,
-		.boot = BOOT,
+		.boot = BOOT_MS,
 		.reclaimable_price = price,
 		.ndomains = DOMAINS };
 	unsigned int i;
@@ -136,13 +138,13 @@
 {
 	unsigned int i;
 
-	*w = (struct world){ .now = 100000, .visible = MOST };
+	*w = (struct world){ .now = 100000, .visible = SERVERS_MAX };
 	w->rand = g_rand_new_with_seed(1);
 	capacity_init(&w->c, &ops);
 	w->c.arg = w;
-	world_terms(w, price, MOST);
+	world_set_terms(w, price, SERVERS_MAX);
 	for (i = 0; i < DOMAINS; i++)
-		w->sites[i][CAPACITY_LASTING].ready = lasting;
+		w->pools[i][CAPACITY_LASTING].ready = lasting;
 	capacity_set_holder(&w->c, w->now, true);
 }
 
@@ -165,19 +167,19 @@
 	d->tokens = (uint64_t)w->tokens;
 	d->urgent_tokens = (uint64_t)w->urgent;
 	d->running = running;
-	if (!w->silent)
+	if (!w->no_reports)
 		capacity_receive(&w->c, w->now, 1, &msg);
 }
 
 static void
-world_platform(struct world *w)
+world_run_platform(struct world *w)
 {
 	struct late_order *late;
 	unsigned int i, j, k;
 
 	for (i = 0; i < DOMAINS; i++) {
 		for (k = 0; k < CAPACITY_KINDS; k++) {
-			struct site *s = &w->sites[i][k];
+			struct server_pool *s = &w->pools[i][k];
 
 			s->ready += s->booting[0];
 			for (j = 0; j + 1 < G_N_ELEMENTS(s->booting); j++)
@@ -189,7 +191,7 @@
 	if (late == NULL || late->at > w->now)
 		return;
 	g_queue_pop_head(&w->late);
-	site_set(&w->sites[late->domain][late->kind], late->count);
+	pool_set_count(&w->pools[late->domain][late->kind], late->count);
 	g_free(late);
 }
 
@@ -198,17 +200,17 @@
 {
 	unsigned int i, k, n;
 
-	w->now += STEP;
-	w->tokens += tokens_per_ms * STEP;
-	w->urgent += tokens_per_ms * STEP / 20;
+	w->now += STEP_MS;
+	w->tokens += tokens_per_ms * STEP_MS;
+	w->urgent += tokens_per_ms * STEP_MS / 20;
 	w->requests += tokens_per_ms > 0;
-	world_platform(w);
+	world_run_platform(w);
 	if (w->now % 1000 == 0 && w->requests > 0)
 		world_report(w, running);
-	capacity_clear_ready(&w->c, !w->reading);
+	capacity_clear_ready(&w->c, !w->servers_incomplete);
 	for (i = 0; i < DOMAINS; i++) {
 		for (k = 0; k < CAPACITY_KINDS; k++) {
-			for (n = 0; n < MIN(w->sites[i][k].ready, w->visible);
+			for (n = 0; n < MIN(w->pools[i][k].ready, w->visible);
 			     n++)
 				capacity_add_ready(&w->c, name_hash("model"),
 				    domain_names[i], k);
@@ -218,12 +220,12 @@
 }
 
 static unsigned int
-world_ready(const struct world *w, enum capacity_kind kind)
+world_count_ready(const struct world *w, enum capacity_kind kind)
 {
 	unsigned int i, n = 0;
 
 	for (i = 0; i < DOMAINS; i++)
-		n += w->sites[i][kind].ready;
+		n += w->pools[i][kind].ready;
 	return n;
 }
 
@@ -237,9 +239,9 @@
 
 	while (w->now < end) {
 		world_step(w, tokens_per_ms, running);
-		minimum =
-		    MIN(minimum, world_ready(w, CAPACITY_LASTING) +
-				     world_ready(w, CAPACITY_RECLAIMABLE));
+		minimum = MIN(
+		    minimum, world_count_ready(w, CAPACITY_LASTING) +
+				 world_count_ready(w, CAPACITY_RECLAIMABLE));
 	}
 	return minimum;
 }
@@ -250,10 +252,10 @@
 {
 	struct world w;
 
-	world_init(&w, 20, PRICE);
+	world_init(&w, 20, RECLAIMABLE_PRICE);
 	g_assert_cmpuint(world_run(&w, 20000, 0, 0), >=, 60);
-	g_assert_cmpuint(world_ready(&w, CAPACITY_LASTING), ==, DOMAINS);
-	g_assert_cmpuint(world_ready(&w, CAPACITY_RECLAIMABLE), >=, 60);
+	g_assert_cmpuint(world_count_ready(&w, CAPACITY_LASTING), ==, DOMAINS);
+	g_assert_cmpuint(world_count_ready(&w, CAPACITY_RECLAIMABLE), >=, 60);
 	world_finish(&w);
 }
 
@@ -266,7 +268,7 @@
 {
 	struct world w;
 
-	world_init(&w, 20, PRICE);
+	world_init(&w, 20, RECLAIMABLE_PRICE);
 	for (w.visible = 2; w.visible < 20; w.visible++)
 		g_assert_cmpuint(world_run(&w, 300, 0, 0), >=, 60);
 	g_assert_cmpuint(world_run(&w, 20000, 0, 0), >=, 60);
@@ -280,16 +282,16 @@
 	struct world w;
 	unsigned int before, i;
 
-	world_init(&w, 300, PRICE);
+	world_init(&w, 300, RECLAIMABLE_PRICE);
 	w.visible = UINT_MAX;
-	world_terms(&w, PRICE, 1000);
+	world_set_terms(&w, RECLAIMABLE_PRICE, 1000);
 	capacity_set_holder(&w.c, w.now, true);
 	for (i = 0; i < 120; i++) {
-		before = w.changed;
+		before = w.servers_changed;
 		g_assert_cmpuint(world_run(&w, 1000, 0, 0), >=, 900);
-		g_assert_cmpuint(w.changed - before, <=, 100);
+		g_assert_cmpuint(w.servers_changed - before, <=, 100);
 	}
-	g_assert_cmpuint(world_ready(&w, CAPACITY_LASTING), <, 100);
+	g_assert_cmpuint(world_count_ready(&w, CAPACITY_LASTING), <, 100);
 	world_finish(&w);
 }
 
@@ -302,14 +304,14 @@
 {
 	struct world w;
 
-	world_init(&w, 300, PRICE);
-	world_terms(&w, PRICE, 1000);
+	world_init(&w, 300, RECLAIMABLE_PRICE);
+	world_set_terms(&w, RECLAIMABLE_PRICE, 1000);
 	w.c.nodes = 300;
 	w.c.services[0].previous_needed = 900;
-	w.reading = true;
+	w.servers_incomplete = true;
 	for (w.visible = 0; w.visible < 250; w.visible += 10)
 		g_assert_cmpuint(world_run(&w, 300, 1400, 200), >=, 900);
-	w.reading = false;
+	w.servers_incomplete = false;
 	w.visible = UINT_MAX;
 	g_assert_cmpuint(world_run(&w, 20000, 1400, 200), >=, 900);
 	world_finish(&w);
@@ -322,17 +324,17 @@
 	struct world w;
 	unsigned int n, i;
 
-	world_init(&w, 20, PRICE);
+	world_init(&w, 20, RECLAIMABLE_PRICE);
 	world_run(&w, 20000, 0, 0);
 	world_run(&w, 40000, 1400, 200);
 	n = w.c.services[0].needed;
-	w.sites[1][CAPACITY_RECLAIMABLE].ready = 0;
+	w.pools[1][CAPACITY_RECLAIMABLE].ready = 0;
 	for (i = 0; i < DOMAINS; i++)
-		w.sites[i][CAPACITY_RECLAIMABLE].none_until =
+		w.pools[i][CAPACITY_RECLAIMABLE].unavailable_until =
 		    i == 1 ? w.now + 10000 : 0;
 	g_assert_cmpuint(world_run(&w, 9000, 1400, 200), >=, n - 1);
 	world_run(&w, 20000, 1400, 200);
-	g_assert_cmpuint(w.sites[1][CAPACITY_RECLAIMABLE].ready, >, 0);
+	g_assert_cmpuint(w.pools[1][CAPACITY_RECLAIMABLE].ready, >, 0);
 	world_finish(&w);
 }
 
@@ -343,11 +345,11 @@
 	struct world w;
 	unsigned int orders;
 
-	world_init(&w, 20, PRICE);
+	world_init(&w, 20, RECLAIMABLE_PRICE);
 	world_run(&w, 20000, 0, 0);
 	world_run(&w, 40000, 1400, 200);
-	w.sites[2][CAPACITY_RECLAIMABLE].ready = 0;
-	w.sites[2][CAPACITY_RECLAIMABLE].none_until = w.now + 20000;
+	w.pools[2][CAPACITY_RECLAIMABLE].ready = 0;
+	w.pools[2][CAPACITY_RECLAIMABLE].unavailable_until = w.now + 20000;
 	orders = w.orders;
 	world_run(&w, 20000, 1400, 200);
 	/* One try per 2.5 s in the empty domain, and one change per domain. */
@@ -362,17 +364,19 @@
 	struct world w;
 	unsigned int i;
 
-	world_init(&w, 20, PRICE);
+	world_init(&w, 20, RECLAIMABLE_PRICE);
 	world_run(&w, 20000, 0, 0);
 	world_run(&w, 40000, 1400, 200);
 	for (i = 0; i < DOMAINS; i++) {
-		w.sites[i][CAPACITY_RECLAIMABLE].ready = 0;
-		w.sites[i][CAPACITY_RECLAIMABLE].none_until = w.now + 30000;
+		w.pools[i][CAPACITY_RECLAIMABLE].ready = 0;
+		w.pools[i][CAPACITY_RECLAIMABLE].unavailable_until =
+		    w.now + 30000;
 	}
-	world_run(&w, BOOT + 2000, 1400, 200);
-	g_assert_cmpuint(world_ready(&w, CAPACITY_LASTING) * 60, >=, 1400);
+	world_run(&w, BOOT_MS + 2000, 1400, 200);
+	g_assert_cmpuint(
+	    world_count_ready(&w, CAPACITY_LASTING) * 60, >=, 1400);
 	world_run(&w, 60000, 1400, 200);
-	g_assert_cmpuint(world_ready(&w, CAPACITY_LASTING), <, 12);
+	g_assert_cmpuint(world_count_ready(&w, CAPACITY_LASTING), <, 12);
 	world_finish(&w);
 }
 
@@ -383,14 +387,14 @@
 	struct world w;
 	unsigned int i, k;
 
-	world_init(&w, 20, PRICE);
-	w.lose_percent = 60;
+	world_init(&w, 20, RECLAIMABLE_PRICE);
+	w.lost_percent = 60;
 	world_run(&w, 60000, 1400, 200);
-	w.lose_percent = 0;
+	w.lost_percent = 0;
 	world_run(&w, 30000, 1400, 200);
 	for (i = 0; i < DOMAINS; i++) {
 		for (k = 0; k < CAPACITY_KINDS; k++)
-			g_assert_cmpuint(w.sites[i][k].ready, ==,
+			g_assert_cmpuint(w.pools[i][k].ready, ==,
 			    w.c.services[0].domains[i].kinds[k].target);
 	}
 	world_finish(&w);
@@ -403,13 +407,13 @@
 	struct world w;
 	unsigned int n;
 
-	world_init(&w, 20, PRICE);
+	world_init(&w, 20, RECLAIMABLE_PRICE);
 	world_run(&w, 40000, 2000, 300);
 	n = w.c.services[0].needed;
-	w.silent = true;
+	w.no_reports = true;
 	world_run(&w, 120000, 100, 10);
 	g_assert_cmpuint(w.c.services[0].needed, ==, n);
-	w.silent = false;
+	w.no_reports = false;
 	world_run(&w, 120000, 100, 10);
 	g_assert_cmpuint(w.c.services[0].needed, <, n / 4);
 	world_finish(&w);
@@ -422,13 +426,14 @@
 	struct world w;
 	unsigned int n;
 
-	world_init(&w, 10, PRICE);
+	world_init(&w, 10, RECLAIMABLE_PRICE);
 	world_run(&w, 40000, 600, 100);
 	n = w.c.services[0].needed;
 	world_run(&w, 3000, 1200, 200);
 	g_assert_cmpuint(w.c.services[0].needed, >=, 2 * n - 2);
-	world_run(&w, BOOT + 1000, 1200, 200);
-	g_assert_cmpuint(world_ready(&w, CAPACITY_RECLAIMABLE), >=, 2 * n - 2);
+	world_run(&w, BOOT_MS + 1000, 1200, 200);
+	g_assert_cmpuint(
+	    world_count_ready(&w, CAPACITY_RECLAIMABLE), >=, 2 * n - 2);
 	world_finish(&w);
 }
 
@@ -439,7 +444,7 @@
 	struct world w;
 	unsigned int orders, i;
 
-	world_init(&w, 20, PRICE);
+	world_init(&w, 20, RECLAIMABLE_PRICE);
 	for (i = 0; i < 6; i++) {
 		world_run(&w, 6000, 1400, 200);
 		world_run(&w, 6000, 500, 80);
@@ -463,15 +468,16 @@
 	struct world w;
 	unsigned int n;
 
-	world_init(&w, 20, PRICE);
+	world_init(&w, 20, RECLAIMABLE_PRICE);
 	world_run(&w, 60000, 1400, 200);
 	n = w.c.services[0].needed;
-	w.sites[0][CAPACITY_RECLAIMABLE].ready = 0;
+	w.pools[0][CAPACITY_RECLAIMABLE].ready = 0;
 	capacity_set_holder(&w.c, w.now, true);
 	w.c.services[0].previous_needed = n;
 	world_run(&w, 10000, 1400, 200);
 	g_assert_cmpuint(w.c.services[0].needed, ==, n);
-	g_assert_cmpuint(world_ready(&w, CAPACITY_RECLAIMABLE), >=, n - 4);
+	g_assert_cmpuint(
+	    world_count_ready(&w, CAPACITY_RECLAIMABLE), >=, n - 4);
 	world_finish(&w);
 }
 
@@ -483,10 +489,11 @@
 
 	world_init(&w, 20, 0);
 	world_run(&w, 60000, 1400, 200);
-	g_assert_cmpuint(world_ready(&w, CAPACITY_RECLAIMABLE), ==, 0);
-	g_assert_cmpuint(world_ready(&w, CAPACITY_LASTING), >=, 1400 / 24);
+	g_assert_cmpuint(world_count_ready(&w, CAPACITY_RECLAIMABLE), ==, 0);
+	g_assert_cmpuint(
+	    world_count_ready(&w, CAPACITY_LASTING), >=, 1400 / 24);
 	world_run(&w, 120000, 200, 20);
-	g_assert_cmpuint(world_ready(&w, CAPACITY_LASTING), <, 15);
+	g_assert_cmpuint(world_count_ready(&w, CAPACITY_LASTING), <, 15);
 	world_finish(&w);
 }
 
@@ -499,7 +506,7 @@
 	struct world w;
 	unsigned int n;
 
-	world_init(&w, 20, PRICE);
+	world_init(&w, 20, RECLAIMABLE_PRICE);
 	world_run(&w, 40000, 600, 100);
 	n = w.c.services[0].needed;
 	d->service = name_hash("another");
--- a/tests/test-dispatch-faults.c
+++ b/tests/test-dispatch-faults.c
@@ -24,7 +24,7 @@
 RB_PROTOTYPE(reservation_tree, reservation, entry, )
 
 static void
-log_drop(
+drop_log_line(
     const gchar *domain, GLogLevelFlags level, const gchar *text, gpointer data)
 {
 }
@@ -46,7 +46,7 @@
 
 /* Runs at a load until a steady state, then begins to measure. */
 static void
-start(struct world *w, const struct world_config *c, double load)
+start_load(struct world *w, const struct world_config *c, double load)
 {
 	world_init(w, c);
 	w->rate = world_capacity(w) * load;
@@ -56,7 +56,7 @@
 
 /* Lets all requests end; afterwards no state of them may be left. */
 static void
-drain(struct world *w)
+drain_all(struct world *w)
 {
 	struct dispatch_data *p;
 	GHashTableIter it;
@@ -86,17 +86,17 @@
 
 /* Totals over the seeds of one scenario. */
 struct totals {
-	unsigned int came[3], well[3], refused[3], failed[3];
-	double made, wasted;
+	unsigned int submitted[3], in_time[3], refused[3], failed[3];
+	double tokens, wasted;
 };
 
 /* A scenario, and the bounds on its totals. */
-struct story {
+struct scenario {
 	/* Starts the load and runs until the end of the measurement. */
 	void (*run)(struct world *, struct world_config *);
-	double least[3]; /* attained part of a class; 0: any */
-	double wasted;	 /* wasted part of the tokens, at most; 0: any */
-	bool all_end;	 /* no stream may fail */
+	double min_attained[3]; /* attained part of a class; 0: any */
+	double wasted;		/* wasted part of the tokens, at most; 0: any */
+	bool no_failures;	/* no stream may fail */
 };
 
 static void
@@ -105,43 +105,43 @@
 	unsigned int i;
 
 	for (i = REPLAN; i <= DRAFT; i++) {
-		t->came[i] += w->stats[i].arrived;
-		t->well[i] += w->stats[i].attained;
+		t->submitted[i] += w->stats[i].arrived;
+		t->in_time[i] += w->stats[i].attained;
 		t->refused[i] += w->stats[i].refused;
 		t->failed[i] += w->stats[i].failed;
 	}
-	t->made += w->tokens_made;
+	t->tokens += w->tokens_made;
 	t->wasted += w->tokens_wasted;
 }
 
 static void
-totals_check(const struct totals *t, const struct story *story)
+totals_check(const struct totals *t, const struct scenario *scenario)
 {
-	double part;
+	double attained_part;
 	unsigned int i;
 
 	for (i = REPLAN; i <= DRAFT; i++) {
-		g_assert_cmpuint(t->came[i], >, 0);
-		part = t->well[i] / (double)t->came[i];
+		g_assert_cmpuint(t->submitted[i], >, 0);
+		attained_part = t->in_time[i] / (double)t->submitted[i];
 		g_test_message("%s: %u arrived, attained %.4f, refused %u, "
 			       "failed %u",
-		    world_classes_usual[i].name, t->came[i], part,
+		    world_classes_usual[i].name, t->submitted[i], attained_part,
 		    t->refused[i], t->failed[i]);
-		g_assert_cmpfloat(part, >=, story->least[i]);
-		if (story->all_end)
+		g_assert_cmpfloat(attained_part, >=, scenario->min_attained[i]);
+		if (scenario->no_failures)
 			g_assert_cmpuint(t->failed[i], ==, 0);
 	}
 	g_assert_cmpuint(t->refused[REPLAN], ==, 0);
-	g_test_message("wasted part of tokens %.4f", t->wasted / t->made);
-	if (story->wasted > 0)
-		g_assert_cmpfloat(t->wasted / t->made, <, story->wasted);
+	g_test_message("wasted part of tokens %.4f", t->wasted / t->tokens);
+	if (scenario->wasted > 0)
+		g_assert_cmpfloat(t->wasted / t->tokens, <, scenario->wasted);
 }
 
 /* The bounds apply to all seeds together: one has too few re-plans for 1 %. */
 static void
-test_story(gconstpointer data)
+test_scenario(gconstpointer data)
 {
-	const struct story *story = data;
+	const struct scenario *scenario = data;
 	struct totals t = { 0 };
 	struct world_config c;
 	struct world w;
@@ -150,13 +150,13 @@
 	for (seed = 1; seed <= SEEDS; seed++) {
 		c = config("owner");
 		c.seed = seed;
-		story->run(&w, &c);
+		scenario->run(&w, &c);
 		world_measure(&w, false);
-		drain(&w);
+		drain_all(&w);
 		totals_add(&t, &w);
 		world_finish(&w);
 	}
-	totals_check(&t, story);
+	totals_check(&t, scenario);
 }
 
 /*
@@ -167,7 +167,7 @@
 static void
 run_burst(struct world *w, struct world_config *c)
 {
-	start(w, c, 0.6);
+	start_load(w, c, 0.6);
 	w->boost[DRAFT] = 8;
 	world_run(w, 120000);
 	w->boost[DRAFT] = 1;
@@ -181,7 +181,7 @@
 static void
 run_protected_burst(struct world *w, struct world_config *c)
 {
-	start(w, c, 0.5);
+	start_load(w, c, 0.5);
 	w->boost[REPLAN] = 25;
 	world_run(w, 60000);
 	w->boost[REPLAN] = 1;
@@ -195,7 +195,7 @@
 run_straggler(struct world *w, struct world_config *c)
 {
 	c->frozen_reports = true;
-	start(w, c, 0.6);
+	start_load(w, c, 0.6);
 	w->engines[1].slow = 10;
 	world_run(w, 180000);
 }
@@ -208,20 +208,20 @@
 static void
 run_owner_dies(struct world *w, struct world_config *c)
 {
-	start(w, c, 1.5);
+	start_load(w, c, 1.5);
 	world_node_crash(w, 1);
 	world_run(w, 120000);
 }
 
 static void
-wake(struct world *w)
+owner_resume(struct world *w)
 {
 	world_node_pause(w, 1, false);
 	world_node_forget(w, 1, false);
 }
 
 static void
-forget(struct world *w)
+owner_forgotten(struct world *w)
 {
 	world_node_forget(w, 1, true);
 }
@@ -234,10 +234,10 @@
 static void
 run_owner_paused(struct world *w, struct world_config *c)
 {
-	start(w, c, 1.2);
+	start_load(w, c, 1.2);
 	world_node_pause(w, 1, true);
-	world_after(w, 2000, forget);
-	world_after(w, 5000, wake);
+	world_after(w, 2000, owner_forgotten);
+	world_after(w, 5000, owner_resume);
 	world_run(w, 120000);
 }
 
@@ -249,7 +249,7 @@
 run_reports_frozen(struct world *w, struct world_config *c)
 {
 	c->frozen_reports = true;
-	start(w, c, 0.8);
+	start_load(w, c, 0.8);
 	world_run(w, 120000);
 }
 
@@ -263,7 +263,7 @@
 {
 	unsigned int i;
 
-	start(w, c, 2.0);
+	start_load(w, c, 2.0);
 	w->flood_share = 0.8;
 	world_run(w, 30000);
 	/* Drafts of an organisation with few requests, during the overload. */
@@ -292,7 +292,7 @@
 static void
 run_two_bursts_domain_lost(struct world *w, struct world_config *c)
 {
-	start(w, c, 0.5);
+	start_load(w, c, 0.5);
 	w->boost[DRAFT] = 5;
 	w->boost[QUESTION] = 5;
 	world_run(w, 10000);
@@ -301,7 +301,7 @@
 }
 
 static void
-split_end(struct world *w)
+membership_heal(struct world *w)
 {
 	world_tell(w);
 }
@@ -317,7 +317,7 @@
 	struct dispatch_node some[3];
 	unsigned int i;
 
-	start(w, c, 1.0);
+	start_load(w, c, 1.0);
 	for (i = 0; i < 3; i++) {
 		some[i].id = w->nodes[i].id;
 		some[i].incarnation = w->nodes[i].incarnation;
@@ -327,7 +327,7 @@
 	/* For 10 s, three nodes have a membership of only themselves. */
 	for (i = 0; i < 3; i++)
 		dispatch_set_nodes(&w->nodes[i].d, (msec)w->now, some, 3);
-	world_after(w, 10000, split_end);
+	world_after(w, 10000, membership_heal);
 	world_run(w, 120000);
 }
 
@@ -340,7 +340,7 @@
 {
 	c->loss = 0.05;
 	c->twice = 0.05;
-	start(w, c, 0.8);
+	start_load(w, c, 0.8);
 	world_run(w, 120000);
 }
 
@@ -351,7 +351,7 @@
 static void
 run_leave(struct world *w, struct world_config *c)
 {
-	start(w, c, 0.9);
+	start_load(w, c, 0.9);
 	world_node_leave(w, 1);
 	world_run(w, 120000);
 }
@@ -394,7 +394,7 @@
 }
 
 static unsigned int
-nodes_up(const struct world *w)
+count_live_nodes(const struct world *w)
 {
 	unsigned int i, n = 0;
 
@@ -405,16 +405,17 @@
 }
 
 static void
-random_fault(struct world *w)
+inject_random_fault(struct world *w)
 {
 	unsigned int n = g_rand_int_range(w->rand, 0, w->config.nodes);
 	unsigned int e = g_rand_int_range(w->rand, 0, w->config.engines);
 	struct world_node *node = &w->nodes[n];
 
-	world_after(w, g_rand_double_range(w->rand, 200, 4000), random_fault);
+	world_after(
+	    w, g_rand_double_range(w->rand, 200, 4000), inject_random_fault);
 	switch (g_rand_int_range(w->rand, 0, 9)) {
 	case 0:
-		if (node->up && nodes_up(w) > 2)
+		if (node->up && count_live_nodes(w) > 2)
 			world_node_crash(w, n);
 		break;
 	case 1:
@@ -422,7 +423,7 @@
 			world_node_start(w, n);
 		break;
 	case 2:
-		if (node->up && !node->paused && nodes_up(w) > 2)
+		if (node->up && !node->paused && count_live_nodes(w) > 2)
 			world_node_pause(w, n, true);
 		break;
 	case 3:
@@ -467,7 +468,7 @@
 		world_init(&w, &c);
 		w.rate = world_capacity(&w) * 0.8;
 		w.check = check_all;
-		world_after(&w, 1000, random_fault);
+		world_after(&w, 1000, inject_random_fault);
 		world_run(&w, 120000);
 		events += w.nevents;
 		/* All faults end; afterwards no state may be left. */
@@ -484,7 +485,7 @@
 			w.nodes[i].known = true;
 		}
 		world_tell(&w);
-		drain(&w);
+		drain_all(&w);
 		world_finish(&w);
 	}
 	g_test_message("%" PRIu64 " events, seeds 100 to %u", events, c.seed);
@@ -492,8 +493,8 @@
 
 static const struct {
 	const char *path;
-	struct story story;
-} stories[] = {
+	struct scenario scenario;
+} scenarios[] = {
 	{ "/dispatch/burst", { run_burst, { 0.99, 0.97, 0.1 } } },
 	{ "/dispatch/protected-burst", { run_protected_burst, { 0.5 } } },
 	{ "/dispatch/straggler", { run_straggler, { 0.98, 0.98, 0.97 } } },
@@ -508,7 +509,8 @@
 	    { run_two_bursts_domain_lost, { 0.97 }, 0.05 } },
 	{ "/dispatch/two-owners", { run_two_owners, { 0.98, 0.95 } } },
 	{ "/dispatch/loss", { run_loss, { 0.99, 0.98, 0.95 } } },
-	{ "/dispatch/planned-stop", { run_leave, { 0.98 }, .all_end = true } },
+	{ "/dispatch/planned-stop",
+	    { run_leave, { 0.98 }, .no_failures = true } },
 };
 
 /*
@@ -539,10 +541,10 @@
 
 	g_test_init(&argc, &argv, NULL);
 	/* Drops the debug line for each of about a million decisions. */
-	g_log_set_handler("dispatch", G_LOG_LEVEL_DEBUG, log_drop, NULL);
-	for (i = 0; i < G_N_ELEMENTS(stories); i++)
+	g_log_set_handler("dispatch", G_LOG_LEVEL_DEBUG, drop_log_line, NULL);
+	for (i = 0; i < G_N_ELEMENTS(scenarios); i++)
 		g_test_add_data_func(
-		    stories[i].path, &stories[i].story, test_story);
+		    scenarios[i].path, &scenarios[i].scenario, test_scenario);
 	g_test_add_func("/dispatch/random", test_random);
 	g_test_add_func("/dispatch/lone-stall", test_lone_stall);
 	return g_test_run();
--- a/tests/test-dispatch.c
+++ b/tests/test-dispatch.c
@@ -9,8 +9,8 @@
 #include <string.h>
 
 #define SERVICE "planner-llm"
-#define ME 1
-#define OTHER 2
+#define SELF 1
+#define OTHER_NODE 2
 #define ENGINE 77
 #define SENT_MAX 64
 
@@ -25,8 +25,8 @@
 	} sent[SENT_MAX];
 	unsigned int nsent;
 	unsigned int granted, refused;
-	enum dispatch_refusal why;
-	msec after;
+	enum dispatch_refusal refusal;
+	msec retry_after;
 };
 
 static void
@@ -47,11 +47,11 @@
 
 static void
 on_refused(struct dispatch *d, struct dispatch_request *r,
-    enum dispatch_refusal why, msec after)
+    enum dispatch_refusal refusal, msec retry_after)
 {
 	((struct fixture *)d)->refused++;
-	((struct fixture *)d)->why = why;
-	((struct fixture *)d)->after = after;
+	((struct fixture *)d)->refusal = refusal;
+	((struct fixture *)d)->retry_after = retry_after;
 }
 
 static void
@@ -66,13 +66,13 @@
 static void
 fixture_init(struct fixture *f, name_id engine_domain, unsigned int slots)
 {
-	struct dispatch_config c = { .self = ME,
+	struct dispatch_config c = { .self = SELF,
 		.incarnation = 5,
-		.domain = ME,
+		.domain = SELF,
 		.policy = "owner",
 		.seed = 1 };
-	struct dispatch_node nodes[] = { { ME, 5, ME, true },
-		{ OTHER, 9, OTHER, true } };
+	struct dispatch_node nodes[] = { { SELF, 5, SELF, true },
+		{ OTHER_NODE, 9, OTHER_NODE, true } };
 	struct dispatch_engine e = { .id = ENGINE,
 		.service = name_hash(SERVICE),
 		.domain = engine_domain,
@@ -123,7 +123,7 @@
 	m.sp_msg_u.reserve.class_index = tier;
 	m.sp_msg_u.reserve.tier = tier;
 	m.sp_msg_u.reserve.expect_tokens = 100;
-	dispatch_receive(&f->d, now, OTHER, incarnation, &m);
+	dispatch_receive(&f->d, now, OTHER_NODE, incarnation, &m);
 }
 
 static void
@@ -134,7 +134,7 @@
 	m.sp_msg_u.grant.engine = ENGINE;
 	m.sp_msg_u.grant.id = id;
 	m.sp_msg_u.grant.slots = 4;
-	dispatch_receive(&f->d, now, OTHER, 9, &m);
+	dispatch_receive(&f->d, now, OTHER_NODE, 9, &m);
 }
 
 static void
@@ -147,7 +147,7 @@
 	struct dispatch_request r, second;
 	struct fixture f;
 
-	fixture_init(&f, ME, 1);
+	fixture_init(&f, SELF, 1);
 	request_init(&r, 1, 1000);
 	dispatch_submit(&f.d, 1000, &r);
 	g_assert_cmpuint(f.granted, ==, 1);
@@ -168,12 +168,12 @@
 	struct dispatch_request r;
 	struct fixture f;
 
-	fixture_init(&f, ME, 1);
+	fixture_init(&f, SELF, 1);
 	request_init(&r, 0, 1000);
 	r.service = name_hash("unheard-of");
 	dispatch_submit(&f.d, 1000, &r);
 	g_assert_cmpuint(f.refused, ==, 1);
-	g_assert_cmpint(f.why, ==, DISPATCH_NO_ENGINE);
+	g_assert_cmpint(f.refusal, ==, DISPATCH_NO_ENGINE);
 	dispatch_finish(&f.d);
 }
 
@@ -186,7 +186,7 @@
 {
 	struct fixture f;
 
-	fixture_init(&f, ME, 2);
+	fixture_init(&f, SELF, 2);
 	receive_reserve(&f, 1000, 9, 1, 1);
 	receive_reserve(&f, 1001, 9, 1, 1);
 	g_assert_cmpuint(sent_count(&f, SP_GRANT), ==, 2);
@@ -212,7 +212,7 @@
 {
 	struct fixture f;
 
-	fixture_init(&f, ME, 1);
+	fixture_init(&f, SELF, 1);
 	receive_reserve(&f, 1000, 9, 1, 1);
 	g_assert_cmpuint(sent_count(&f, SP_GRANT), ==, 1);
 	receive_reserve(&f, 1001, 9, 2, 1);
@@ -237,7 +237,7 @@
 	struct fixture f;
 	unsigned int id;
 
-	fixture_init(&f, OTHER, 1);
+	fixture_init(&f, OTHER_NODE, 1);
 	request_init(&r, 1, 1000);
 	dispatch_submit(&f.d, 1000, &r);
 	g_assert_cmpuint(sent_count(&f, SP_RESERVE), ==, 1);
@@ -257,7 +257,7 @@
 	struct dispatch_request r;
 	struct fixture f;
 
-	fixture_init(&f, OTHER, 1);
+	fixture_init(&f, OTHER_NODE, 1);
 	request_init(&r, 1, 1000);
 	dispatch_submit(&f.d, 1000, &r);
 	receive_grant(&f, 1001, r.id);
@@ -278,15 +278,15 @@
 	struct fixture f;
 	msec at;
 
-	fixture_init(&f, OTHER, 1);
+	fixture_init(&f, OTHER_NODE, 1);
 	request_init(&r, 1, 1000);
 	dispatch_submit(&f.d, 1000, &r);
 	for (at = 1000; at < 2000 && f.refused == 0; at += 10)
 		dispatch_tick(&f.d, at);
 	g_assert_cmpuint(f.refused, ==, 1);
-	g_assert_cmpint(f.why, ==, DISPATCH_HOPELESS);
+	g_assert_cmpint(f.refusal, ==, DISPATCH_HOPELESS);
 	g_assert_cmpint(at, <, 2000);
-	g_assert_cmpint(f.after, >, 0);
+	g_assert_cmpint(f.retry_after, >, 0);
 	dispatch_finish(&f.d);
 }
 
@@ -303,14 +303,14 @@
 	sp_msg m = { .kind = SP_REFUSE };
 	msec at;
 
-	fixture_init(&f, OTHER, 1);
+	fixture_init(&f, OTHER_NODE, 1);
 	request_init(&r, 1, 1000);
 	r.resumed = true;
 	dispatch_submit(&f.d, 1000, &r);
 	m.sp_msg_u.refuse.engine = ENGINE;
 	m.sp_msg_u.refuse.id = r.id;
 	m.sp_msg_u.refuse.reason = SP_QUEUE_FULL;
-	dispatch_receive(&f.d, 1001, OTHER, 9, &m);
+	dispatch_receive(&f.d, 1001, OTHER_NODE, 9, &m);
 	for (at = 1001; at < 3500; at += 10)
 		dispatch_tick(&f.d, at);
 	g_assert_cmpuint(f.refused, ==, 0);
@@ -332,12 +332,12 @@
 	sp_msg m = { .kind = SP_QUEUED };
 	msec at;
 
-	fixture_init(&f, OTHER, 1);
+	fixture_init(&f, OTHER_NODE, 1);
 	request_init(&r, 0, 1000);
 	dispatch_submit(&f.d, 1000, &r);
 	m.sp_msg_u.queued.engine = ENGINE;
 	m.sp_msg_u.queued.id = r.id;
-	dispatch_receive(&f.d, 1002, OTHER, 9, &m);
+	dispatch_receive(&f.d, 1002, OTHER_NODE, 9, &m);
 	for (at = 1002; at < 4000 && sent_count(&f, SP_CANCEL) == 0; at += 10)
 		dispatch_tick(&f.d, at);
 	g_assert_cmpuint(sent_count(&f, SP_CANCEL), ==, 1);
@@ -356,7 +356,7 @@
 	struct dispatch_request r;
 	struct fixture f;
 
-	fixture_init(&f, ME, 1);
+	fixture_init(&f, SELF, 1);
 	request_init(&r, 0, 1000);
 	r.avoid = ENGINE;
 	dispatch_submit(&f.d, 1000, &r);
@@ -371,7 +371,7 @@
 	struct fixture f;
 	unsigned int i;
 
-	fixture_init(&f, ME, 1);
+	fixture_init(&f, SELF, 1);
 	for (i = 1; i <= 600; i++) {
 		receive_reserve(&f, 1000, 9, i, 3);
 		f.nsent = 0;
@@ -401,7 +401,7 @@
 	struct fixture f;
 	unsigned int i;
 
-	fixture_init(&f, ME, 4);
+	fixture_init(&f, SELF, 4);
 	f.doc.kind = SERVICE_PLAIN;
 	f.classes[1].first_token = 0;
 	dispatch_set_document(&f.d, 1000, &f.doc);
@@ -428,7 +428,7 @@
 	struct dispatch_request r;
 	struct fixture f;
 
-	fixture_init(&f, OTHER, 4);
+	fixture_init(&f, OTHER_NODE, 4);
 	request_init(&r, 1, 1000);
 	dispatch_submit(&f.d, 4000, &r);
 	dispatch_tick(&f.d, 4000);
@@ -446,12 +446,12 @@
 	struct dispatch_request r;
 	struct fixture f;
 
-	fixture_init(&f, OTHER, 4);
+	fixture_init(&f, OTHER_NODE, 4);
 	request_init(&r, 1, 1000);
 	dispatch_submit(&f.d, 4000, &r);
 	dispatch_tick(&f.d, 4600);
 	g_assert_cmpuint(f.refused, ==, 1);
-	g_assert_cmpint(f.why, ==, DISPATCH_HOPELESS);
+	g_assert_cmpint(f.refusal, ==, DISPATCH_HOPELESS);
 	dispatch_finish(&f.d);
 }
 
@@ -461,7 +461,7 @@
 {
 	struct fixture f;
 
-	fixture_init(&f, ME, 1);
+	fixture_init(&f, SELF, 1);
 	receive_reserve(&f, 1000, 9, 1, 1);
 	receive_reserve(&f, 1000, 9, 2, 1);
 	f.nsent = 0;
--- a/tests/test-place-changes.c
+++ b/tests/test-place-changes.c
@@ -9,13 +9,13 @@
 #include <math.h>
 
 #define PROMPTS 300
-#define SHARED 13000
-#define OWN 1000
-#define FEW 60
-#define MANY 90
-#define MOST 120
+#define SHARED_TOKENS 13000
+#define OWN_TOKENS 1000
+#define SERVERS_FEW 60
+#define SERVERS_MANY 90
+#define SERVERS_MAX 120
 /* Tolerance for the random sample of 300 prompts. */
-#define DRAWN 0.05
+#define SAMPLE_TOLERANCE 0.05
 #define DRAWS 10000
 
 struct world {
@@ -47,12 +47,12 @@
 static const struct server_ops server_ops = { server_changed, server_changed };
 
 static void
-servers_to(struct world *w, unsigned int n)
+world_set_servers(struct world *w, unsigned int n)
 {
 	char name[16];
 	unsigned int i;
 
-	for (i = 0; i < MOST; i++) {
+	for (i = 0; i < SERVERS_MAX; i++) {
 		struct server_entry e = { .name = name,
 			.service = "model",
 			.domain = "d",
@@ -82,7 +82,7 @@
 	place_set_nodes(&w->place, w->now, &self, 1);
 	if (most > 0)
 		place_set_max_servers(&w->place, name_hash("model"), most);
-	servers_to(w, FEW);
+	world_set_servers(w, SERVERS_FEW);
 	servers_set_complete(&w->servers);
 }
 
@@ -99,10 +99,10 @@
  * server which had processed them before.
  */
 static double
-world_kept(struct world *w)
+world_cached_part(struct world *w)
 {
 	uint64_t tokens = w->place.counters.tokens;
-	uint64_t kept = w->place.counters.tokens_kept;
+	uint64_t cached = w->place.counters.tokens_kept;
 	unsigned int i;
 
 	for (i = 0; i < PROMPTS; i++) {
@@ -110,8 +110,8 @@
 					       .service = name_hash("model"),
 					       .route = 1,
 					       .prompt = 1000 + i,
-					       .shared = SHARED,
-					       .own = OWN } };
+					       .shared = SHARED_TOKENS,
+					       .own = OWN_TOKENS } };
 
 		place_submit(&w->place, w->now, &r);
 		g_assert_nonnull(w->chosen);
@@ -120,23 +120,24 @@
 		place_end(&w->place, w->now, &r, SERVER_ANSWERED);
 	}
 	tokens = w->place.counters.tokens - tokens;
-	kept = w->place.counters.tokens_kept - kept;
-	return (double)kept / (double)(tokens - (uint64_t)PROMPTS * OWN);
+	cached = w->place.counters.tokens_kept - cached;
+	return (double)cached /
+	       (double)(tokens - (uint64_t)PROMPTS * OWN_TOKENS);
 }
 
 /* Sends all prompts until the coordinator's records are complete. */
 static void
-world_warm(struct world *w)
+world_warm_up(struct world *w)
 {
 	unsigned int i;
 
 	for (i = 0; i < 12; i++)
-		world_kept(w);
+		world_cached_part(w);
 }
 
 /* The group that weighted rendezvous hashing gives for these draws. */
 static unsigned int
-group_of(const double *sizes, const double *draws, unsigned int groups)
+choose_group(const double *sizes, const double *draws, unsigned int groups)
 {
 	unsigned int i, best = 0;
 
@@ -149,13 +150,14 @@
 
 /* The part of prompts whose group changes with the sizes of the groups. */
 static double
-groups_uneven(struct world *w, unsigned int from, unsigned int to)
+groups_moved_part(struct world *w, unsigned int from, unsigned int to)
 {
-	unsigned int groups = MOST / PLACE_GROUP_SERVERS, i, j, moved = 0;
-	double sizes[2][MOST] = { { 0 } }, draws[MOST];
+	unsigned int groups = SERVERS_MAX / PLACE_GROUP_SERVERS, i, j,
+		     moved = 0;
+	double sizes[2][SERVERS_MAX] = { { 0 } }, draws[SERVERS_MAX];
 	char name[16];
 
-	servers_to(w, MAX(from, to));
+	world_set_servers(w, MAX(from, to));
 	for (i = 0; i < MAX(from, to); i++) {
 		const struct server *v;
 
@@ -167,23 +169,24 @@
 	for (j = 0; j < DRAWS; j++) {
 		for (i = 0; i < groups; i++)
 			draws[i] = g_rand_double_range(w->rand, 1e-9, 1);
-		moved += group_of(sizes[0], draws, groups) !=
-			 group_of(sizes[1], draws, groups);
+		moved += choose_group(sizes[0], draws, groups) !=
+			 choose_group(sizes[1], draws, groups);
 	}
 	return (double)moved / DRAWS;
 }
 
 static void
-check_servers_come(struct world *w)
+check_servers_added(struct world *w)
 {
 	double before, after;
 
-	before = world_kept(w);
-	servers_to(w, MANY);
-	after = world_kept(w);
+	before = world_cached_part(w);
+	world_set_servers(w, SERVERS_MANY);
+	after = world_cached_part(w);
 	g_test_message("cached part %.3f, then %.3f", before, after);
-	g_assert_cmpfloat(
-	    after, >=, before - groups_uneven(w, FEW, MANY) - DRAWN);
+	g_assert_cmpfloat(after, >=,
+	    before - groups_moved_part(w, SERVERS_FEW, SERVERS_MANY) -
+		SAMPLE_TOLERANCE);
 }
 
 /* Guards against prompts processed again when the fleet grows by half. */
@@ -192,9 +195,9 @@
 {
 	struct world w;
 
-	world_init(&w, MOST);
-	world_warm(&w);
-	check_servers_come(&w);
+	world_init(&w, SERVERS_MAX);
+	world_warm_up(&w);
+	check_servers_added(&w);
 	world_finish(&w);
 }
 
@@ -207,9 +210,9 @@
 {
 	struct world w;
 
-	world_init(&w, MOST);
-	world_kept(&w);
-	check_servers_come(&w);
+	world_init(&w, SERVERS_MAX);
+	world_cached_part(&w);
+	check_servers_added(&w);
 	world_finish(&w);
 }
 
@@ -223,14 +226,16 @@
 	double after;
 	struct world w;
 
-	world_init(&w, MOST);
-	servers_to(&w, MANY);
-	world_warm(&w);
-	servers_to(&w, FEW);
-	after = world_kept(&w);
+	world_init(&w, SERVERS_MAX);
+	world_set_servers(&w, SERVERS_MANY);
+	world_warm_up(&w);
+	world_set_servers(&w, SERVERS_FEW);
+	after = world_cached_part(&w);
 	g_test_message("cached part %.3f", after);
 	g_assert_cmpfloat(after, >=,
-	    (double)FEW / MANY - groups_uneven(&w, MANY, FEW) - DRAWN);
+	    (double)SERVERS_FEW / SERVERS_MANY -
+		groups_moved_part(&w, SERVERS_MANY, SERVERS_FEW) -
+		SAMPLE_TOLERANCE);
 	world_finish(&w);
 }
 
@@ -240,11 +245,11 @@
 {
 	struct world w;
 
-	world_init(&w, MOST);
-	servers_to(&w, 3);
-	world_kept(&w);
+	world_init(&w, SERVERS_MAX);
+	world_set_servers(&w, 3);
+	world_cached_part(&w);
 	/* Nearly all pairs of server and prompt are stored. */
-	g_assert_cmpfloat(world_kept(&w), >=, 0.95);
+	g_assert_cmpfloat(world_cached_part(&w), >=, 0.95);
 	world_finish(&w);
 }
 
--- a/tests/test-place-rate.c
+++ b/tests/test-place-rate.c
@@ -15,10 +15,10 @@
 #define KINDS 2
 #define ANSWER_MS 2
 #define TOKENS_PER_MS 60
-#define STABLE_MS 3000
+#define SETTLE_MS 3000
 #define WINDOW_MS 4000
 /* The least part of a server's limit that is used if demand exceeds it. */
-#define USED_PART 0.85
+#define MIN_USED_PART 0.85
 
 struct world;
 
@@ -33,7 +33,7 @@
 struct request {
 	struct place_request place;
 	struct node *node;
-	msec answers, ends; /* due times; MSEC_NEVER: none */
+	msec answer_at, end_at; /* due times; MSEC_NEVER: none */
 };
 
 struct world {
@@ -45,11 +45,11 @@
 	struct mail mail;
 	GRand *rand;
 	msec now;
-	unsigned int placed, refused, turned_away;
-	msec free_at[SERVERS]; /* when it has processed all its prompts */
-	bool mixed;	       /* requests alternate between kinds[] */
-	unsigned int turn;
-	unsigned int by_kind[KINDS][SERVERS];
+	unsigned int placed, refused, queue_refused;
+	msec idle_at[SERVERS]; /* when it has processed all its prompts */
+	bool alternate_kinds;  /* requests alternate between kinds[] */
+	unsigned int next_kind;
+	unsigned int kind_counts[KINDS][SERVERS];
 };
 
 static const char *const names[SERVERS] = { "s-0", "s-1", "s-2", "s-3" };
@@ -89,13 +89,14 @@
 
 /* Milliseconds until the server has processed the prompt after its queue. */
 static msec
-request_reads(struct world *w, const struct place_request *r, unsigned int i)
+request_processing_ms(
+    struct world *w, const struct place_request *r, unsigned int i)
 {
-	msec *free_at = &w->free_at[i];
+	msec *idle_at = &w->idle_at[i];
 
-	*free_at = MAX(*free_at, w->now + ANSWER_MS) +
+	*idle_at = MAX(*idle_at, w->now + ANSWER_MS) +
 		   (msec)r->wish.own / TOKENS_PER_MS;
-	return *free_at - w->now;
+	return *idle_at - w->now;
 }
 
 static void
@@ -106,15 +107,15 @@
 
 	if (v == NULL || place_queue_exceeds_limit(&r->queue)) {
 		w->refused++;
-		w->turned_away += v != NULL;
-		q->ends = now;
+		w->queue_refused += v != NULL;
+		q->end_at = now;
 		return;
 	}
 	w->placed++;
-	w->by_kind[r->wish.route % KINDS][server_index(v)]++;
+	w->kind_counts[r->wish.route % KINDS][server_index(v)]++;
 	g_array_append_val(w->arrivals[server_index(v)], now);
-	q->answers = now + request_reads(w, r, server_index(v));
-	q->ends = q->answers + 40;
+	q->answer_at = now + request_processing_ms(w, r, server_index(v));
+	q->end_at = q->answer_at + 40;
 }
 
 static void
@@ -134,7 +135,7 @@
 /* ---- simulation ---- */
 
 static void
-nodes_push(struct world *w)
+nodes_set_members(struct world *w)
 {
 	struct place_node list[NODES_MAX];
 	unsigned int i, n = 0;
@@ -210,7 +211,7 @@
 		w->arrivals[i] = g_array_new(FALSE, FALSE, sizeof(msec));
 	for (i = 0; i < nodes; i++)
 		node_start(w, i);
-	nodes_push(w);
+	nodes_set_members(w);
 }
 
 static void
@@ -246,7 +247,7 @@
 	struct node *n = q->node;
 	struct server *v = servers_find(&n->servers, q->place.server);
 
-	q->answers = MSEC_NEVER;
+	q->answer_at = MSEC_NEVER;
 	if (v != NULL && server_rate_update(&v->rate, w->now, w->now,
 			     w->rates[server_index(v)]))
 		place_rate_received(&n->place, w->now, v);
@@ -261,9 +262,9 @@
 
 	for (i = w->requests->len; i-- > 0;) {
 		q = g_ptr_array_index(w->requests, i);
-		if (w->now >= q->answers)
+		if (w->now >= q->answer_at)
 			request_answered(w, q);
-		if (w->now < q->ends)
+		if (w->now < q->end_at)
 			continue;
 		place_end(&q->node->place, w->now, &q->place, SERVER_ANSWERED);
 		g_free(q);
@@ -280,12 +281,12 @@
 		q->node = &w->nodes[g_rand_int_range(w->rand, 0, (gint32)w->n)];
 	while (q->node->down);
 	q->place.arg = q;
-	if (w->mixed)
-		q->place.wish = kinds[w->turn++ % KINDS];
+	if (w->alternate_kinds)
+		q->place.wish = kinds[w->next_kind++ % KINDS];
 	else
 		q->place.wish.route = 1;
 	q->place.wish.service = name_hash("model");
-	q->answers = q->ends = MSEC_NEVER;
+	q->answer_at = q->end_at = MSEC_NEVER;
 	g_ptr_array_add(w->requests, q);
 	place_submit(&q->node->place, w->now, &q->place);
 }
@@ -314,7 +315,7 @@
 
 /* The most arrivals in any WINDOW_MS that begin after `from`. */
 static unsigned int
-arrivals_most(const struct world *w, unsigned int server, msec from)
+arrivals_max(const struct world *w, unsigned int server, msec from)
 {
 	const GArray *a = w->arrivals[server];
 	unsigned int most = 0, n;
@@ -347,9 +348,10 @@
 }
 
 static void
-check_bound(const struct world *w, unsigned int server, double rate, msec from)
+check_rate_bound(
+    const struct world *w, unsigned int server, double rate, msec from)
 {
-	unsigned int most = arrivals_most(w, server, from);
+	unsigned int most = arrivals_max(w, server, from);
 
 	g_test_message(
 	    "rate %g: at most %u arrivals in %d ms", rate, most, WINDOW_MS);
@@ -368,21 +370,21 @@
 	static const double rates[] = { 0.2, 0.5, 1, 5, 50, 200 };
 	struct world w;
 	msec from;
-	double takes;
+	double allowed;
 	size_t i;
 
 	for (i = 0; i < G_N_ELEMENTS(rates); i++) {
 		world_init(&w, NODES_MAX, 1 + (uint32_t)i);
 		world_run(&w, 500, 1500);
 		w.rates[0] = rates[i];
-		from = w.now + STABLE_MS;
-		world_run(&w, 30000 + STABLE_MS, 1500);
-		check_bound(&w, 0, rates[i], from);
-		takes = rates[i] * 30;
+		from = w.now + SETTLE_MS;
+		world_run(&w, 30000 + SETTLE_MS, 1500);
+		check_rate_bound(&w, 0, rates[i], from);
+		allowed = rates[i] * 30;
 		g_test_message(
-		    "sent %u of %.0f", arrivals_since(&w, 0, from), takes);
-		g_assert_cmpfloat(
-		    arrivals_since(&w, 0, from), >=, takes * USED_PART - 1);
+		    "sent %u of %.0f", arrivals_since(&w, 0, from), allowed);
+		g_assert_cmpfloat(arrivals_since(&w, 0, from), >=,
+		    allowed * MIN_USED_PART - 1);
 		world_finish(&w);
 	}
 }
@@ -398,12 +400,12 @@
 	world_init(&w, 6, 3);
 	for (k = 0; k < SERVERS; k++)
 		w.rates[k] = 5;
-	from = w.now + STABLE_MS;
-	world_run(&w, 20000 + STABLE_MS, 300);
+	from = w.now + SETTLE_MS;
+	world_run(&w, 20000 + SETTLE_MS, 300);
 	for (k = 0; k < SERVERS; k++) {
-		check_bound(&w, k, 5, from);
-		g_assert_cmpfloat(
-		    arrivals_since(&w, k, from), >=, 20 * 5 * USED_PART - 1);
+		check_rate_bound(&w, k, 5, from);
+		g_assert_cmpfloat(arrivals_since(&w, k, from), >=,
+		    20 * 5 * MIN_USED_PART - 1);
 	}
 	g_assert_cmpuint(w.refused, >, 0);
 	g_assert_cmpint(
@@ -413,25 +415,25 @@
 
 /* Changes the limit each second; returns the used part of its total. */
 static double
-changes_used(const double *rates, unsigned int n, uint32_t seed)
+run_changing_rates(const double *rates, unsigned int n, uint32_t seed)
 {
 	struct world w;
 	unsigned int i;
-	double takes = 0, used;
+	double allowed = 0, used;
 	msec from;
 
 	world_init(&w, 6, seed);
 	w.rates[0] = rates[0];
-	world_run(&w, STABLE_MS, 600);
+	world_run(&w, SETTLE_MS, 600);
 	from = w.now;
 	for (i = 0; i < 40; i++) {
 		w.rates[0] = rates[i % n];
-		takes += w.rates[0];
+		allowed += w.rates[0];
 		world_run(&w, 1000, 600);
 	}
 	/* Each WINDOW_MS contains all the rates. */
-	check_bound(&w, 0, takes / 40, from);
-	used = arrivals_since(&w, 0, from) / takes;
+	check_rate_bound(&w, 0, allowed / 40, from);
+	used = arrivals_since(&w, 0, from) / allowed;
 	g_test_message("used part %.2f", used);
 	world_finish(&w);
 	return used;
@@ -449,8 +451,8 @@
 			    far[] = { 20, 2, 50, 5 };
 
 	g_assert_cmpfloat(
-	    changes_used(near, G_N_ELEMENTS(near), 4), >=, USED_PART);
-	changes_used(far, G_N_ELEMENTS(far), 4);
+	    run_changing_rates(near, G_N_ELEMENTS(near), 4), >=, MIN_USED_PART);
+	run_changing_rates(far, G_N_ELEMENTS(far), 4);
 }
 
 /* Guards against exceeded limits when coordinators restart again and again. */
@@ -466,25 +468,25 @@
 		world_init(&w, 6, seed);
 		w.rates[0] = 1;
 		w.rates[1] = 10;
-		from = w.now + STABLE_MS;
-		world_run(&w, STABLE_MS, 400);
+		from = w.now + SETTLE_MS;
+		world_run(&w, SETTLE_MS, 400);
 		for (i = 0; i < 12; i++) {
 			node_kill(&w, i % 6);
-			nodes_push(&w);
+			nodes_set_members(&w);
 			world_run(&w, 700, 400);
 			node_start(&w, i % 6);
-			nodes_push(&w);
+			nodes_set_members(&w);
 			world_run(&w, 900, 400);
 		}
-		check_bound(&w, 0, 1, from);
-		check_bound(&w, 1, 10, from);
+		check_rate_bound(&w, 0, 1, from);
+		check_rate_bound(&w, 1, 10, from);
 		world_finish(&w);
 	}
 }
 
 /* The node that coordinates most requests. */
 static unsigned int
-coordinator_of(const struct world *w)
+world_coordinator(const struct world *w)
 {
 	unsigned int i, best = 0;
 
@@ -498,10 +500,10 @@
 
 /* Half of the nodes drop the coordinator from their membership. */
 static void
-nodes_push_two(struct world *w)
+nodes_split_members(struct world *w)
 {
 	struct place_node list[NODES_MAX];
-	unsigned int i, n = 0, gone = coordinator_of(w);
+	unsigned int i, n = 0, gone = world_coordinator(w);
 
 	for (i = 0; i < w->n; i++) {
 		if (i != gone)
@@ -526,21 +528,21 @@
 		world_init(&w, 6, seed);
 		w.rates[0] = 1;
 		w.rates[1] = 20;
-		world_run(&w, STABLE_MS, 400);
+		world_run(&w, SETTLE_MS, 400);
 		from = w.now;
-		nodes_push_two(&w);
+		nodes_split_members(&w);
 		world_run(&w, WINDOW_MS, 400);
-		nodes_push(&w);
+		nodes_set_members(&w);
 		world_run(&w, WINDOW_MS, 400);
-		check_bound(&w, 0, 1, from);
-		check_bound(&w, 1, 20, from);
+		check_rate_bound(&w, 0, 1, from);
+		check_rate_bound(&w, 1, 20, from);
 		world_finish(&w);
 	}
 }
 
 /* All nodes leave, and each has a membership that shows it. */
 static void
-nodes_push_leaving(struct world *w)
+nodes_all_leave(struct world *w)
 {
 	struct place_node list[NODES_MAX];
 	unsigned int i;
@@ -564,12 +566,12 @@
 		world_init(&w, 6, seed);
 		w.rates[0] = 1;
 		w.rates[1] = 20;
-		world_run(&w, STABLE_MS, 400);
+		world_run(&w, SETTLE_MS, 400);
 		from = w.now;
-		nodes_push_leaving(&w);
+		nodes_all_leave(&w);
 		world_run(&w, 2 * WINDOW_MS, 400);
-		check_bound(&w, 0, 1, from);
-		check_bound(&w, 1, 20, from);
+		check_rate_bound(&w, 0, 1, from);
+		check_rate_bound(&w, 1, 20, from);
 		world_finish(&w);
 	}
 }
@@ -587,12 +589,12 @@
 		world_init(&w, NODES_MAX, 5);
 		w.rates[0] = 1;
 		w.rates[1] = 10;
-		world_run(&w, STABLE_MS, 400);
+		world_run(&w, SETTLE_MS, 400);
 		w.mail.lost_permille = losses[i];
 		from = w.now;
 		world_run(&w, 30000, 400);
-		check_bound(&w, 0, 1, from);
-		check_bound(&w, 1, 10, from);
+		check_rate_bound(&w, 0, 1, from);
+		check_rate_bound(&w, 1, 10, from);
 		world_finish(&w);
 	}
 }
@@ -620,16 +622,16 @@
 
 /* The server with most requests of a kind; `part` is its part of them. */
 static unsigned int
-kind_home(const struct world *w, unsigned int kind, double *part)
+kind_main_server(const struct world *w, unsigned int kind, double *part)
 {
 	unsigned int i, best = 0, sum = 0;
 
 	for (i = 0; i < SERVERS; i++) {
-		sum += w->by_kind[kind][i];
-		if (w->by_kind[kind][i] > w->by_kind[kind][best])
+		sum += w->kind_counts[kind][i];
+		if (w->kind_counts[kind][i] > w->kind_counts[kind][best])
 			best = i;
 	}
-	*part = sum > 0 ? (double)w->by_kind[kind][best] / sum : 0;
+	*part = sum > 0 ? (double)w->kind_counts[kind][best] / sum : 0;
 	return best;
 }
 
@@ -647,15 +649,15 @@
 
 	for (kind = 0; kind < G_N_ELEMENTS(kinds); kind++) {
 		world_init(&w, 6, 7);
-		w.mixed = true;
+		w.alternate_kinds = true;
 		world_run(&w, 8000, 30);
-		home = kind_home(&w, kind, &part);
+		home = kind_main_server(&w, kind, &part);
 		g_assert_cmpfloat(part, >, 0.6);
 		w.rates[home] = 1;
 		world_run(&w, 4000, 30);
-		memset(w.by_kind, 0, sizeof w.by_kind);
+		memset(w.kind_counts, 0, sizeof w.kind_counts);
 		world_run(&w, 10000, 30);
-		other = kind_home(&w, kind, &part);
+		other = kind_main_server(&w, kind, &part);
 		g_assert_cmpuint(other, !=, home);
 		g_test_message(
 		    "kind %u: part %.2f at one other server", kind, part);
@@ -675,20 +677,21 @@
 	struct world w;
 
 	world_init(&w, 6, 8);
-	w.mixed = true;
+	w.alternate_kinds = true;
 	for (i = 0; i < SERVERS; i++)
 		w.rates[i] = 3;
 	world_run(&w, 6000, 60);
-	memset(w.by_kind, 0, sizeof w.by_kind);
+	memset(w.kind_counts, 0, sizeof w.kind_counts);
 	world_run(&w, 20000, 60);
 	for (k = 0; k < KINDS; k++)
 		for (i = 0; i < SERVERS; i++)
-			sum[k] += w.by_kind[k][i];
+			sum[k] += w.kind_counts[k][i];
 	g_test_message("less urgent %u, urgent %u", sum[0], sum[1]);
 	g_assert_cmpuint(sum[1], >, 2 * sum[0]);
 	/* Requests of both kinds are equally frequent. */
 	g_assert_cmpuint(sum[0] * 4 * KINDS, >=, sum[0] + sum[1]);
-	g_assert_cmpfloat(sum[0] + sum[1], >=, 20 * 3 * SERVERS * USED_PART);
+	g_assert_cmpfloat(
+	    sum[0] + sum[1], >=, 20 * 3 * SERVERS * MIN_USED_PART);
 	world_finish(&w);
 }
 
@@ -703,16 +706,16 @@
 	unsigned int i;
 
 	world_init(&w, 6, 9);
-	w.mixed = true;
+	w.alternate_kinds = true;
 	for (i = 1; i < SERVERS; i++)
 		w.rates[i] = 1;
 	world_run(&w, 10000, 60);
-	w.turned_away = w.placed = 0;
+	w.queue_refused = w.placed = 0;
 	world_run(&w, 10000, 60);
-	g_test_message("placed %u, refused %u", w.placed, w.turned_away);
+	g_test_message("placed %u, refused %u", w.placed, w.queue_refused);
 	/* Of 600 requests half are long prompts; it processes 16 a second. */
-	g_assert_cmpuint(w.turned_away, >, 60);
-	g_assert_cmpint(w.free_at[0] - w.now, <, 5000);
+	g_assert_cmpuint(w.queue_refused, >, 60);
+	g_assert_cmpint(w.idle_at[0] - w.now, <, 5000);
 	world_finish(&w);
 }
 
--- a/tests/test-place.c
+++ b/tests/test-place.c
@@ -17,10 +17,11 @@
 	struct place place;
 	struct servers servers;
 	name_id id;
-	bool cut;     /* cut off: receives and sends nothing */
-	bool leaving; /* finishes its requests and does not coordinate */
-	msec began;   /* start of its process */
-	bool back; /* restarted, and not yet in the membership of odd nodes */
+	bool isolated;	 /* cut off: receives and sends nothing */
+	bool leaving;	 /* finishes its requests and does not coordinate */
+	msec started_at; /* start of its process */
+	bool rejoining; /* restarted, and not yet in the membership of odd nodes
+			 */
 	unsigned int decided;
 	struct server *last;
 	msec decided_at;
@@ -58,7 +59,7 @@
 	sent++;
 	for (i = 0; i < nnodes && nodes[i].id != to; i++)
 		;
-	if (i == nnodes || from->cut || nodes[i].cut)
+	if (i == nnodes || from->isolated || nodes[i].isolated)
 		return;
 	g_assert_cmpuint(nmessages, <, MESSAGES_MAX);
 	messages[nmessages] = (struct message){ clock_now + delay,
@@ -74,7 +75,7 @@
 	nmessages++;
 }
 
-static void load_begin(struct place_request *, struct server *);
+static void load_decided(struct place_request *, struct server *);
 
 static void
 node_decided(
@@ -86,7 +87,7 @@
 	n->last = v;
 	n->decided_at = now;
 	if (r->arg != NULL)
-		load_begin(r, v);
+		load_decided(r, v);
 }
 
 static const struct place_ops ops = { net_send_message, node_decided };
@@ -100,29 +101,30 @@
 
 /* Gives a node its current membership. */
 static void
-node_hears(struct node *to)
+node_set_members(struct node *to)
 {
 	struct place_node list[NODES_MAX];
 	unsigned int i, n = 0;
 
 	for (i = 0; i < nnodes; i++) {
-		if (nodes[i].cut ||
-		    (nodes[i].back && (to - nodes) % 2 == 1 && &nodes[i] != to))
+		if (nodes[i].isolated ||
+		    (nodes[i].rejoining && (to - nodes) % 2 == 1 &&
+			&nodes[i] != to))
 			continue;
 		list[n++] = (struct place_node){ nodes[i].id, !nodes[i].leaving,
-			clock_now - nodes[i].began, false };
+			clock_now - nodes[i].started_at, false };
 	}
 	place_set_nodes(&to->place, clock_now, list, n);
 }
 
 static void
-fleet_nodes(void)
+fleet_set_members(void)
 {
 	unsigned int i;
 
 	for (i = 0; i < nnodes; i++) {
-		if (!nodes[i].cut)
-			node_hears(&nodes[i]);
+		if (!nodes[i].isolated)
+			node_set_members(&nodes[i]);
 	}
 }
 
@@ -139,9 +141,9 @@
 		v->own = v->all = (struct server_load){ 0 };
 	place_init(&n->place, &ops, &n->servers, n->id, "d", rnd);
 	n->place.arg = n;
-	n->began = clock_now;
-	n->cut = false;
-	n->back = true;
+	n->started_at = clock_now;
+	n->isolated = false;
+	n->rejoining = true;
 }
 
 static void
@@ -176,7 +178,7 @@
 		    nodes[i].id, "d", rnd);
 		nodes[i].place.arg = &nodes[i];
 	}
-	fleet_nodes();
+	fleet_set_members();
 }
 
 static void
@@ -213,7 +215,7 @@
 			if (m.msg.kind == SP_PLACE_TOOK)
 				m.msg.sp_msg_u.place_took.wish.avoid.avoid_val =
 				    m.avoid;
-			if (!nodes[m.to].cut)
+			if (!nodes[m.to].isolated)
 				place_receive(&nodes[m.to].place, clock_now,
 				    nodes[m.from].id, &m.msg);
 		}
@@ -329,26 +331,26 @@
 test_coordinator_lost(void)
 {
 	struct place_request r[20], last;
-	msec most = 0, began;
+	msec most = 0, started_at;
 	unsigned int i, n;
 
 	fleet_start(8, SERVERS);
 	n = coordinator_index();
-	nodes[n].cut = true;
+	nodes[n].isolated = true;
 	n = (n + 1) % 8;
 	nodes[n].place.counters.asked = 0;
 	for (i = 0; i < G_N_ELEMENTS(r); i++) {
 		request_fill(&r[i], 0, 100);
-		began = clock_now;
+		started_at = clock_now;
 		place_submit(&nodes[n].place, clock_now, &r[i]);
 		fleet_run(80);
 		g_assert_cmpuint(nodes[n].decided, ==, i + 1);
-		most = MAX(most, nodes[n].decided_at - began);
+		most = MAX(most, nodes[n].decided_at - started_at);
 	}
 	g_assert_cmpint(most, <=, 80);
 	g_assert_cmpuint(nodes[n].place.counters.asked, <, 12);
 	/* The membership changes, and another node coordinates. */
-	fleet_nodes();
+	fleet_set_members();
 	fleet_run(1500);
 	nodes[n].place.counters.alone = 0;
 	request_fill(&last, 0, 100);
@@ -379,8 +381,8 @@
 		if (nodes[lost].place.counters.coordinated > 0)
 			break;
 	}
-	nodes[lost].cut = true;
-	fleet_nodes();
+	nodes[lost].isolated = true;
+	fleet_set_members();
 	fleet_run(10);
 	for (i = 0; i < 8; i++) {
 		if (i == lost)
@@ -407,7 +409,7 @@
 	}
 	fleet_run(10);
 	for (i = 0; i < 8; i++)
-		nodes[i].cut = true;
+		nodes[i].isolated = true;
 	fleet_run(32000);
 	for (i = total = 0; i < 8; i++) {
 		RB_FOREACH (v, server_tree, &nodes[i].servers.tree)
@@ -536,7 +538,8 @@
 
 /* A request of the least urgent tier, with the target of a long prompt. */
 static void
-request_fill_last(struct place_request *r, uint64_t prompt, unsigned int own)
+request_fill_last_tier(
+    struct place_request *r, uint64_t prompt, unsigned int own)
 {
 	request_fill(r, prompt, own);
 	r->wish.rank = 5;
@@ -545,14 +548,14 @@
 
 /* Requests that begin near the limit are in time. */
 static void
-service_has_room(void)
+train_in_time(void)
 {
 	static struct place_request r[24];
 	unsigned int i, k;
 
 	for (k = 0; k < 8; k++) {
 		for (i = 0; i < G_N_ELEMENTS(r); i++) {
-			request_fill_last(&r[i], 0, 6000);
+			request_fill_last_tier(&r[i], 0, 6000);
 			place_submit(&nodes[0].place, clock_now, &r[i]);
 			fleet_run(5);
 		}
@@ -567,13 +570,13 @@
 
 /* `times` admitted requests are late, one after the other. */
 static void
-service_is_late(unsigned int times)
+train_late(unsigned int times)
 {
 	struct place_request r;
 	unsigned int i;
 
 	for (i = 0; i < times; i++) {
-		request_fill_last(&r, 0, 100);
+		request_fill_last_tier(&r, 0, 100);
 		place_submit(&nodes[0].place, clock_now, &r);
 		fleet_run(5);
 		place_prompt_read(&nodes[0].place, clock_now, &r);
@@ -587,17 +590,17 @@
 
 /* Sends 40 prompts of 100 ms to four servers; returns how many are refused. */
 static unsigned int
-away_of_forty(struct place_request *r)
+submit_forty(struct place_request *r)
 {
-	unsigned int i, away = 0;
+	unsigned int i, refused = 0;
 
 	for (i = 0; i < 40; i++) {
-		request_fill_last(&r[i], 0, 6000);
+		request_fill_last_tier(&r[i], 0, 6000);
 		place_submit(&nodes[i % 8].place, clock_now, &r[i]);
 		fleet_run(5);
-		away += place_queue_exceeds_limit(&r[i].queue);
+		refused += place_queue_exceeds_limit(&r[i].queue);
 	}
-	return away;
+	return refused;
 }
 
 static void
@@ -623,18 +626,18 @@
 {
 	static struct place_request r[40];
 	struct place_request urgent, lone;
-	unsigned int i, away;
+	unsigned int i, refused;
 
 	fleet_start(8, 4);
-	service_has_room();
+	train_in_time();
 	/* The last has 1,000 ms ahead of it, with a target of 2,500. */
-	g_assert_cmpuint(away_of_forty(r), ==, 0);
+	g_assert_cmpuint(submit_forty(r), ==, 0);
 	end_forty(r);
-	service_is_late(20);
-	away = away_of_forty(r);
+	train_late(20);
+	refused = submit_forty(r);
 	/* After twelve, 300 ms are queued at each server. */
-	g_assert_cmpuint(away, >=, 22);
-	g_assert_cmpuint(away, <=, 28);
+	g_assert_cmpuint(refused, >=, 22);
+	g_assert_cmpuint(refused, <=, 28);
 	request_fill(&urgent, 0, 1000);
 	urgent.wish.rank = 1;
 	urgent.wish.target = 400;
@@ -646,13 +649,13 @@
 	fleet_stop();
 
 	fleet_start(8, 4);
-	service_is_late(20);
+	train_late(20);
 	for (i = 0; i < 6; i++) {
-		request_fill_last(&r[i], 7, 4000);
+		request_fill_last_tier(&r[i], 7, 4000);
 		place_submit(&nodes[i % 8].place, clock_now, &r[i]);
 		fleet_run(5);
 	}
-	request_fill_last(&lone, 7, 4000);
+	request_fill_last_tier(&lone, 7, 4000);
 	place_submit(&nodes[0].place, clock_now, &lone);
 	fleet_run(5);
 	g_assert_false(place_queue_exceeds_limit(&lone.queue));
@@ -674,7 +677,7 @@
 	double per_s;
 	unsigned int rank, shared, own, subjects;
 	msec target, gap;
-	unsigned int asked, away, late;
+	unsigned int asked, refused, late;
 };
 
 /* A request at a simulated server. */
@@ -690,34 +693,35 @@
 static struct load_request load[LOAD_REQUESTS];
 
 /* Keys of server and prompt in the servers' caches; NULL: no caches. */
-static GHashTable *load_kept;
+static GHashTable *cached_prompts;
 
 static uint64_t
-load_key(name_id server, uint64_t prompt)
+cache_key(name_id server, uint64_t prompt)
 {
 	return server ^ (prompt * 0x9e3779b97f4a7c15ULL);
 }
 
 static bool
-load_has(name_id server, uint64_t prompt)
+cache_has(name_id server, uint64_t prompt)
 {
-	uint64_t key = load_key(server, prompt);
+	uint64_t key = cache_key(server, prompt);
 
-	return load_kept != NULL && g_hash_table_contains(load_kept, &key);
+	return cached_prompts != NULL &&
+	       g_hash_table_contains(cached_prompts, &key);
 }
 
 static void
-load_keep(name_id server, uint64_t prompt)
+cache_add(name_id server, uint64_t prompt)
 {
-	uint64_t key = load_key(server, prompt);
+	uint64_t key = cache_key(server, prompt);
 
-	if (load_kept != NULL)
-		g_hash_table_add(load_kept, g_memdup2(&key, sizeof key));
+	if (cached_prompts != NULL)
+		g_hash_table_add(cached_prompts, g_memdup2(&key, sizeof key));
 }
 
 /* The next request that a server processes: the most urgent, then oldest. */
 static struct load_request *
-load_next(name_id server, unsigned int n)
+load_next_request(name_id server, unsigned int n)
 {
 	struct load_request *best = NULL, *q;
 	unsigned int i;
@@ -733,19 +737,19 @@
 }
 
 static void
-load_read(name_id server, unsigned int n)
+load_process_prompts(name_id server, unsigned int n)
 {
 	double can = LOAD_TOKENS_PER_MS;
 	struct load_request *q;
 
-	while (can > 0 && (q = load_next(server, n)) != NULL) {
+	while (can > 0 && (q = load_next_request(server, n)) != NULL) {
 		if (q->unread > can) {
 			q->unread -= can;
 			return;
 		}
 		can -= q->unread;
 		q->unread = 0;
-		load_keep(server, q->place.wish.prompt);
+		cache_add(server, q->place.wish.prompt);
 		q->ends = clock_now + LOAD_STREAM_MS;
 		place_prompt_read(&q->node->place, clock_now, &q->place);
 	}
@@ -753,13 +757,13 @@
 
 /* A random node that accepts callers. */
 static struct node *
-load_node(void)
+load_pick_node(void)
 {
 	struct node *n;
 
 	do {
 		n = &nodes[g_rand_int_range(rnd, 0, (gint32)nnodes)];
-	} while (n->cut || n->leaving);
+	} while (n->isolated || n->leaving);
 	return n;
 }
 
@@ -770,7 +774,7 @@
 
 	*q = (struct load_request){ .kind = k, .sent = clock_now };
 	q->place.arg = q;
-	q->node = load_node();
+	q->node = load_pick_node();
 	*w = (struct server_wish){ .service = name_hash("svc"),
 		.route = k->rank + 1,
 		.prompt =
@@ -787,18 +791,18 @@
 
 /* The request starts at its server or is refused. */
 static void
-load_begin(struct place_request *r, struct server *v)
+load_decided(struct place_request *r, struct server *v)
 {
 	struct load_request *q = r->arg;
 
 	if (place_queue_exceeds_limit(&r->queue)) {
-		q->kind->away++;
+		q->kind->refused++;
 		place_end(&q->node->place, clock_now, r, SERVER_NO_RESULT);
 		return;
 	}
 	q->active = true;
 	q->unread = v != NULL ? r->wish.own + r->wish.shared : 1;
-	if (v != NULL && load_has(v->id, r->wish.prompt))
+	if (v != NULL && cache_has(v->id, r->wish.prompt))
 		q->unread = r->wish.own;
 }
 
@@ -825,7 +829,7 @@
 		}
 	}
 	RB_FOREACH (v, server_tree, &nodes[0].servers.tree)
-		load_read(v->id, *n);
+		load_process_prompts(v->id, *n);
 	for (i = 0; i < *n; i++) {
 		if (!load[i].active || load[i].unread > 0 ||
 		    clock_now < load[i].ends)
@@ -836,12 +840,12 @@
 	}
 }
 
-static unsigned int load_sent;
+static unsigned int load_count;
 
 static void
 load_start(void)
 {
-	load_sent = 0;
+	load_count = 0;
 	fleet_start(8, 9);
 }
 
@@ -851,7 +855,7 @@
 	msec end;
 
 	for (end = clock_now + span; clock_now < end;)
-		load_step(kinds, nkinds, &load_sent);
+		load_step(kinds, nkinds, &load_count);
 }
 
 static void
@@ -859,19 +863,19 @@
 {
 	unsigned int i;
 
-	for (i = 0; i < load_sent; i++) {
+	for (i = 0; i < load_count; i++) {
 		if (load[i].active)
 			place_end(&load[i].node->place, clock_now,
 			    &load[i].place, SERVER_NO_RESULT);
 	}
 	fleet_run(5);
 	fleet_stop();
-	g_clear_pointer(&load_kept, g_hash_table_unref);
+	g_clear_pointer(&cached_prompts, g_hash_table_unref);
 }
 
 /* Runs a load for 10 s. */
 static void
-load_play(struct load_kind *kinds, unsigned int nkinds)
+load_run_all(struct load_kind *kinds, unsigned int nkinds)
 {
 	load_start();
 	load_run(kinds, nkinds, 10000);
@@ -894,10 +898,10 @@
 	};
 	unsigned int i;
 
-	load_play(kinds, G_N_ELEMENTS(kinds));
+	load_run_all(kinds, G_N_ELEMENTS(kinds));
 	for (i = 0; i < G_N_ELEMENTS(kinds); i++) {
 		g_assert_cmpuint(kinds[i].asked, >=, 70);
-		g_assert_cmpuint(kinds[i].away, ==, 0);
+		g_assert_cmpuint(kinds[i].refused, ==, 0);
 		g_assert_cmpuint(kinds[i].late * 50, <=, kinds[i].asked);
 	}
 }
@@ -915,13 +919,14 @@
 		{ 11.0, 0, 172, 543, 77, 300, 150, 0, 0, 0 },
 	};
 
-	load_play(kinds, G_N_ELEMENTS(kinds));
-	g_assert_cmpuint(kinds[0].away, >, 50);
-	g_assert_cmpuint(kinds[1].away, ==, 0);
-	g_assert_cmpuint(kinds[2].away, ==, 0);
+	load_run_all(kinds, G_N_ELEMENTS(kinds));
+	g_assert_cmpuint(kinds[0].refused, >, 50);
+	g_assert_cmpuint(kinds[1].refused, ==, 0);
+	g_assert_cmpuint(kinds[2].refused, ==, 0);
 	g_assert_cmpuint(kinds[1].late * 20, <=, kinds[1].asked);
 	/* Most of the admitted ones are in time. */
-	g_assert_cmpuint(kinds[0].late * 4, <=, kinds[0].asked - kinds[0].away);
+	g_assert_cmpuint(
+	    kinds[0].late * 4, <=, kinds[0].asked - kinds[0].refused);
 }
 
 /* The coordinator: the node with the highest counts. */
@@ -936,7 +941,7 @@
 		all = 0;
 		RB_FOREACH (v, server_tree, &nodes[i].servers.tree)
 			all += v->all.running;
-		if (!nodes[i].cut && !nodes[i].leaving && all > most) {
+		if (!nodes[i].isolated && !nodes[i].leaving && all > most) {
 			best = &nodes[i];
 			most = all;
 		}
@@ -947,12 +952,12 @@
 
 /* Kills a node: its requests end, and no other node is notified. */
 static void
-load_kill(struct node *n)
+load_kill_node(struct node *n)
 {
 	unsigned int i;
 
-	n->cut = true;
-	for (i = 0; i < load_sent; i++) {
+	n->isolated = true;
+	for (i = 0; i < load_count; i++) {
 		if (load[i].node == n)
 			load[i].active = false;
 	}
@@ -960,18 +965,20 @@
 
 /* Percentage of refused requests between two points in time. */
 static unsigned int
-load_away(const struct load_kind *then, const struct load_kind *now)
+load_refused_percent(const struct load_kind *then, const struct load_kind *now)
 {
-	return 100 * (now->away - then->away) / (now->asked - then->asked);
+	return 100 * (now->refused - then->refused) /
+	       (now->asked - then->asked);
 }
 
 /* Percentage of late requests among the admitted ones. */
 static unsigned int
-load_late(const struct load_kind *then, const struct load_kind *now)
+load_late_percent(const struct load_kind *then, const struct load_kind *now)
 {
-	unsigned int in = now->asked - then->asked - (now->away - then->away);
+	unsigned int admitted =
+	    now->asked - then->asked - (now->refused - then->refused);
 
-	return 100 * (now->late - then->late) / MAX(in, 1);
+	return 100 * (now->late - then->late) / MAX(admitted, 1);
 }
 
 /*
@@ -993,34 +1000,39 @@
 	unsigned int before, late_before, i;
 
 	load_start();
-	load_kept =
+	cached_prompts =
 	    g_hash_table_new_full(g_int64_hash, g_int64_equal, g_free, NULL);
 	load_run(kinds, G_N_ELEMENTS(kinds), 2000);
 	memcpy(start, kinds, sizeof start);
 	load_run(kinds, G_N_ELEMENTS(kinds), 3000);
-	before = load_away(&start[0], &kinds[0]);
-	late_before = load_late(&start[0], &kinds[0]);
+	before = load_refused_percent(&start[0], &kinds[0]);
+	late_before = load_late_percent(&start[0], &kinds[0]);
 	g_assert_cmpuint(before, >=, 25);
 
-	load_kill(load_coordinator());
+	load_kill_node(load_coordinator());
 	memcpy(start, kinds, sizeof start);
 	load_run(kinds, G_N_ELEMENTS(kinds), 2000);
 	g_test_message("refused %u%% late %u%%, then %u%% and %u%%", before,
-	    late_before, load_away(&start[0], &kinds[0]),
-	    load_late(&start[0], &kinds[0]));
-	g_assert_cmpuint(load_away(&start[0], &kinds[0]) * 4, >=, before * 3);
-	g_assert_cmpuint(load_late(&start[0], &kinds[0]), <=, late_before + 15);
+	    late_before, load_refused_percent(&start[0], &kinds[0]),
+	    load_late_percent(&start[0], &kinds[0]));
+	g_assert_cmpuint(
+	    load_refused_percent(&start[0], &kinds[0]) * 4, >=, before * 3);
+	g_assert_cmpuint(
+	    load_late_percent(&start[0], &kinds[0]), <=, late_before + 15);
 	/* More urgent requests are admitted as before. */
 	for (i = 1; i < G_N_ELEMENTS(kinds); i++)
-		g_assert_cmpuint(load_away(&start[i], &kinds[i]), ==, 0);
+		g_assert_cmpuint(
+		    load_refused_percent(&start[i], &kinds[i]), ==, 0);
 
 	/* The membership changes: the next coordinator finds no long queues. */
-	fleet_nodes();
+	fleet_set_members();
 	memcpy(start, kinds, sizeof start);
 	load_run(kinds, G_N_ELEMENTS(kinds), 2000);
 	g_test_message("with the next coordinator: refused %u%% late %u%%",
-	    load_away(&start[0], &kinds[0]), load_late(&start[0], &kinds[0]));
-	g_assert_cmpuint(load_late(&start[0], &kinds[0]), <=, late_before + 15);
+	    load_refused_percent(&start[0], &kinds[0]),
+	    load_late_percent(&start[0], &kinds[0]));
+	g_assert_cmpuint(
+	    load_late_percent(&start[0], &kinds[0]), <=, late_before + 15);
 	load_stop();
 }
 
@@ -1045,37 +1057,38 @@
 	unsigned int before, i;
 
 	load_start();
-	load_kept =
+	cached_prompts =
 	    g_hash_table_new_full(g_int64_hash, g_int64_equal, g_free, NULL);
 	load_run(kinds, G_N_ELEMENTS(kinds), 2000);
 	n = load_coordinator();
-	load_kill(n);
-	fleet_nodes();
+	load_kill_node(n);
+	fleet_set_members();
 	load_run(kinds, G_N_ELEMENTS(kinds), 2000);
 	memcpy(start, kinds, sizeof start);
 	load_run(kinds, G_N_ELEMENTS(kinds), 1000);
-	before = load_away(&start[0], &kinds[0]);
+	before = load_refused_percent(&start[0], &kinds[0]);
 	g_assert_cmpuint(before, >=, 25);
 
 	node_restart(n);
-	fleet_nodes();
+	fleet_set_members();
 	memcpy(start, kinds, sizeof start);
 	load_run(kinds, G_N_ELEMENTS(kinds), 3000);
 	g_test_message("refused %u%%, then %u%% late %u%%, coordinated %u",
-	    before, load_away(&start[0], &kinds[0]),
-	    load_late(&start[0], &kinds[0]),
+	    before, load_refused_percent(&start[0], &kinds[0]),
+	    load_late_percent(&start[0], &kinds[0]),
 	    (unsigned int)n->place.counters.coordinated);
 	g_assert_cmpuint(n->place.counters.coordinated, ==, 0);
-	g_assert_cmpuint(load_away(&start[0], &kinds[0]) * 4, >=, before * 3);
+	g_assert_cmpuint(
+	    load_refused_percent(&start[0], &kinds[0]) * 4, >=, before * 3);
 
 	/* All nodes have its return, and after a while it coordinates again. */
-	n->back = false;
-	fleet_nodes();
+	n->rejoining = false;
+	fleet_set_members();
 	load_run(kinds, G_N_ELEMENTS(kinds), 1000);
 	g_assert_cmpuint(n->place.counters.coordinated, ==, 0);
 	for (i = 0; i < 2; i++) {
 		load_run(kinds, G_N_ELEMENTS(kinds), 500);
-		fleet_nodes();
+		fleet_set_members();
 	}
 	load_run(kinds, G_N_ELEMENTS(kinds), 500);
 	g_assert_cmpuint(n->place.counters.coordinated, >, 0);
@@ -1084,7 +1097,7 @@
 
 /* The number of running requests of a route that a coordinator counts. */
 static unsigned int
-node_counts(struct node *n, name_id route)
+node_running_count(struct node *n, name_id route)
 {
 	struct mix *m;
 	unsigned int i;
@@ -1123,9 +1136,9 @@
 		place_prompt_read(&nodes[i % 8].place, clock_now, &old[i]);
 	}
 	n = load_coordinator();
-	g_assert_cmpuint(node_counts(n, 1), ==, 80);
+	g_assert_cmpuint(node_running_count(n, 1), ==, 80);
 	n->leaving = true;
-	fleet_nodes();
+	fleet_set_members();
 	fleet_run(5);
 	n = load_coordinator();
 	for (i = 0; i < G_N_ELEMENTS(young); i++) {
@@ -1137,18 +1150,18 @@
 		place_prompt_read(&nodes[i % 8].place, clock_now, &young[i]);
 		/* The number of running requests is the same as before. */
 		if (i == 1)
-			g_assert_cmpuint(node_counts(n, 1), ==, 80);
+			g_assert_cmpuint(node_running_count(n, 1), ==, 80);
 		place_end(
 		    &nodes[i % 8].place, clock_now, &old[i], SERVER_ANSWERED);
 	}
 	fleet_run(5);
-	g_assert_cmpuint(node_counts(n, 1), ==, 80);
-	g_assert_cmpuint(node_counts(n, 2), ==, 80);
+	g_assert_cmpuint(node_running_count(n, 1), ==, 80);
+	g_assert_cmpuint(node_running_count(n, 2), ==, 80);
 	for (i = 0; i < G_N_ELEMENTS(young); i++)
 		place_end(
 		    &nodes[i % 8].place, clock_now, &young[i], SERVER_ANSWERED);
 	fleet_run(5);
-	g_assert_cmpuint(node_counts(n, 1), ==, 0);
+	g_assert_cmpuint(node_running_count(n, 1), ==, 0);
 	fleet_stop();
 }
 
--- a/tests/test-placement.c
+++ b/tests/test-placement.c
@@ -13,22 +13,22 @@
 #define STEP_MS 200
 
 /* A fake engine, with the state that it reports to placement. */
-struct fake {
-	struct placement_model has[PLACEMENT_MODELS_MAX];
-	unsigned int nhas;
+struct fake_engine {
+	struct placement_model model[PLACEMENT_MODELS_MAX];
+	unsigned int nmodels;
 	msec ready_at[PLACEMENT_MODELS_MAX];
-	bool fails; /* loading the version "bad" fails */
-	bool deaf;  /* it receives no orders */
+	bool load_fails;   /* loading the version "bad" fails */
+	bool loses_orders; /* it receives no orders */
 };
 
 struct fleet {
 	struct placement placement;
-	struct fake engines[ENGINES];
+	struct fake_engine engines[ENGINES];
 	msec now;
-	bool may_order;
+	bool has_lease;
 	unsigned int orders;
-	unsigned int least_serving; /* engines with some version ready */
-	unsigned int most_loading;
+	unsigned int min_serving; /* engines with some version ready */
+	unsigned int max_loading;
 };
 
 static const struct doc_model old_model = { "planner", "1" };
@@ -40,97 +40,101 @@
 static const struct placement_ops fleet_ops = { .order = fleet_order };
 
 static int
-fake_find(const struct fake *f, const struct doc_model *m)
+fake_engine_find_model(const struct fake_engine *f, const struct doc_model *m)
 {
 	unsigned int i;
 
-	for (i = 0; i < f->nhas; i++) {
-		if (strcmp(f->has[i].name, m->name) == 0 &&
-		    strcmp(f->has[i].version, m->version) == 0)
+	for (i = 0; i < f->nmodels; i++) {
+		if (strcmp(f->model[i].name, m->name) == 0 &&
+		    strcmp(f->model[i].version, m->version) == 0)
 			return (int)i;
 	}
 	return -1;
 }
 
 static void
-fake_load(struct fake *f, const struct doc_model *m, msec ready_at)
+fake_engine_load(
+    struct fake_engine *f, const struct doc_model *m, msec ready_at)
 {
-	struct placement_model *has = &f->has[f->nhas];
+	struct placement_model *model = &f->model[f->nmodels];
 
-	memset(has, 0, sizeof *has);
-	g_strlcpy(has->name, m->name, sizeof has->name);
-	g_strlcpy(has->version, m->version, sizeof has->version);
-	has->load = PLACEMENT_LOADING;
-	f->ready_at[f->nhas++] = ready_at;
+	memset(model, 0, sizeof *model);
+	g_strlcpy(model->name, m->name, sizeof model->name);
+	g_strlcpy(model->version, m->version, sizeof model->version);
+	model->load = PLACEMENT_LOADING;
+	f->ready_at[f->nmodels++] = ready_at;
 }
 
 static void
-fake_drop(struct fake *f, unsigned int i)
+fake_engine_drop(struct fake_engine *f, unsigned int i)
 {
-	f->nhas--;
-	f->has[i] = f->has[f->nhas];
-	f->ready_at[i] = f->ready_at[f->nhas];
+	f->nmodels--;
+	f->model[i] = f->model[f->nmodels];
+	f->ready_at[i] = f->ready_at[f->nmodels];
 }
 
 static bool
 fleet_order(struct placement *p, struct placement_engine *e, msec now)
 {
 	struct fleet *fl = p->arg;
-	struct fake *f = &fl->engines[e->id - 1];
+	struct fake_engine *f = &fl->engines[e->id - 1];
 	unsigned int i, j;
 	bool wanted;
 
-	if (!fl->may_order)
+	if (!fl->has_lease)
 		return false;
 	fl->orders++;
-	if (f->deaf)
+	if (f->loses_orders)
 		return true;
-	for (i = f->nhas; i-- > 0;) {
+	for (i = f->nmodels; i-- > 0;) {
 		wanted = false;
 		for (j = 0; j < e->nwant; j++)
-			wanted |= fake_find(f, &e->want[j]) == (int)i;
+			wanted |=
+			    fake_engine_find_model(f, &e->want[j]) == (int)i;
 		if (!wanted)
-			fake_drop(f, i);
+			fake_engine_drop(f, i);
 	}
 	for (j = 0; j < e->nwant; j++) {
-		if (fake_find(f, &e->want[j]) < 0)
-			fake_load(f, &e->want[j], now + LOAD_MS);
+		if (fake_engine_find_model(f, &e->want[j]) < 0)
+			fake_engine_load(f, &e->want[j], now + LOAD_MS);
 	}
 	return true;
 }
 
 static void
-fake_step(struct fake *f, msec now)
+fake_engine_step(struct fake_engine *f, msec now)
 {
 	unsigned int i;
 
-	for (i = 0; i < f->nhas; i++) {
-		if (f->has[i].load != PLACEMENT_LOADING || now < f->ready_at[i])
+	for (i = 0; i < f->nmodels; i++) {
+		if (f->model[i].load != PLACEMENT_LOADING ||
+		    now < f->ready_at[i])
 			continue;
-		f->has[i].load =
-		    f->fails && strcmp(f->has[i].version, "bad") == 0
+		f->model[i].load =
+		    f->load_fails && strcmp(f->model[i].version, "bad") == 0
 			? PLACEMENT_FAILED
 			: PLACEMENT_READY;
 	}
 }
 
 static void
-fleet_watch(struct fleet *fl)
+fleet_record(struct fleet *fl)
 {
 	unsigned int i, j, serving = 0, loading = 0;
 	bool ready;
 
 	for (i = 0; i < ENGINES; i++) {
 		ready = false;
-		for (j = 0; j < fl->engines[i].nhas; j++) {
-			ready |= fl->engines[i].has[j].load == PLACEMENT_READY;
+		for (j = 0; j < fl->engines[i].nmodels; j++) {
+			ready |=
+			    fl->engines[i].model[j].load == PLACEMENT_READY;
 			loading +=
-			    fl->engines[i].has[j].load == PLACEMENT_LOADING;
+			    fl->engines[i].model[j].load == PLACEMENT_LOADING;
 		}
 		serving += ready;
 	}
-	fl->least_serving = MIN(fl->least_serving, serving);
-	fl->most_loading = MAX(fl->most_loading, loading);
+	fl->min_serving = MIN(fl->min_serving, serving);
+	fl->max_loading = MAX(fl->max_loading, loading);
 }
 
 static void
@@ -141,17 +145,17 @@
 
 	for (; fl->now < end; fl->now += STEP_MS) {
 		for (i = 0; i < ENGINES; i++) {
-			fake_step(&fl->engines[i], fl->now);
+			fake_engine_step(&fl->engines[i], fl->now);
 			placement_engine_state(&fl->placement, i + 1,
-			    fl->engines[i].has, fl->engines[i].nhas);
+			    fl->engines[i].model, fl->engines[i].nmodels);
 		}
 		placement_round(&fl->placement, fl->now);
-		fleet_watch(fl);
+		fleet_record(fl);
 	}
 }
 
 static void
-fleet_holder(struct fleet *fl, const struct doc_model *m)
+fleet_start_holder(struct fleet *fl, const struct doc_model *m)
 {
 	unsigned int i;
 
@@ -171,24 +175,25 @@
 	unsigned int i;
 
 	memset(fl, 0, sizeof *fl);
-	fl->may_order = true;
-	fl->least_serving = ENGINES;
+	fl->has_lease = true;
+	fl->min_serving = ENGINES;
 	for (i = 0; i < ENGINES; i++) {
-		fake_load(&fl->engines[i], &old_model, 0);
-		fl->engines[i].has[0].load = PLACEMENT_READY;
+		fake_engine_load(&fl->engines[i], &old_model, 0);
+		fl->engines[i].model[0].load = PLACEMENT_READY;
 	}
-	fleet_holder(fl, m);
+	fleet_start_holder(fl, m);
 }
 
 static unsigned int
-fleet_ready(const struct fleet *fl, const struct doc_model *m)
+fleet_count_ready(const struct fleet *fl, const struct doc_model *m)
 {
 	unsigned int i, n = 0;
 	int at;
 
 	for (i = 0; i < ENGINES; i++) {
-		at = fake_find(&fl->engines[i], m);
-		n += at >= 0 && fl->engines[i].has[at].load == PLACEMENT_READY;
+		at = fake_engine_find_model(&fl->engines[i], m);
+		n +=
+		    at >= 0 && fl->engines[i].model[at].load == PLACEMENT_READY;
 	}
 	return n;
 }
@@ -204,10 +209,10 @@
 
 	fleet_start(&fl, &new_model);
 	fleet_run(&fl, 60 * MSEC_SECOND);
-	g_assert_cmpuint(fleet_ready(&fl, &new_model), ==, ENGINES);
-	g_assert_cmpuint(fleet_ready(&fl, &old_model), ==, 0);
-	g_assert_cmpuint(fl.least_serving, ==, ENGINES);
-	g_assert_cmpuint(fl.most_loading, <=, ENGINES / PLACEMENT_ROLL_DIVISOR);
+	g_assert_cmpuint(fleet_count_ready(&fl, &new_model), ==, ENGINES);
+	g_assert_cmpuint(fleet_count_ready(&fl, &old_model), ==, 0);
+	g_assert_cmpuint(fl.min_serving, ==, ENGINES);
+	g_assert_cmpuint(fl.max_loading, <=, ENGINES / PLACEMENT_ROLL_DIVISOR);
 	g_assert_true(placement_settled(&fl.placement));
 	placement_finish(&fl.placement);
 }
@@ -225,15 +230,15 @@
 
 	fleet_start(&fl, &bad_model);
 	for (i = 0; i < ENGINES; i++)
-		fl.engines[i].fails = true;
+		fl.engines[i].load_fails = true;
 	fleet_run(&fl, 60 * MSEC_SECOND);
-	g_assert_cmpuint(fleet_ready(&fl, &old_model), ==, ENGINES);
-	g_assert_cmpuint(fl.most_loading, ==, 1);
+	g_assert_cmpuint(fleet_count_ready(&fl, &old_model), ==, ENGINES);
+	g_assert_cmpuint(fl.max_loading, ==, 1);
 	g_assert_cmpuint(fl.placement.loads, ==, 1);
 	g_assert_cmpuint(fl.placement.rolled_back, ==, 1);
 	placement_set_models(&fl.placement, &new_model, 1);
 	fleet_run(&fl, 60 * MSEC_SECOND);
-	g_assert_cmpuint(fleet_ready(&fl, &new_model), ==, ENGINES);
+	g_assert_cmpuint(fleet_count_ready(&fl, &new_model), ==, ENGINES);
 	placement_finish(&fl.placement);
 }
 
@@ -249,12 +254,12 @@
 
 	fleet_start(&fl, &new_model);
 	for (i = 0; i < ENGINES; i++)
-		fl.engines[i].nhas = 0;
+		fl.engines[i].nmodels = 0;
 	fleet_run(&fl, 10 * MSEC_SECOND);
 	g_assert_cmpuint(fl.placement.loads, <=,
 	    PLACEMENT_LOADS_BURST + 10 * PLACEMENT_LOADS_PER_MINUTE / 60 + 1);
 	fleet_run(&fl, 60 * MSEC_SECOND);
-	g_assert_cmpuint(fleet_ready(&fl, &new_model), ==, ENGINES);
+	g_assert_cmpuint(fleet_count_ready(&fl, &new_model), ==, ENGINES);
 	placement_finish(&fl.placement);
 }
 
@@ -268,13 +273,13 @@
 	struct fleet fl;
 
 	fleet_start(&fl, &new_model);
-	fl.engines[0].deaf = true;
+	fl.engines[0].loses_orders = true;
 	fleet_run(&fl, 10 * MSEC_SECOND);
-	g_assert_cmpuint(fleet_ready(&fl, &new_model), ==, 0);
+	g_assert_cmpuint(fleet_count_ready(&fl, &new_model), ==, 0);
 	g_assert_cmpuint(fl.orders, >, 1);
-	fl.engines[0].deaf = false;
+	fl.engines[0].loses_orders = false;
 	fleet_run(&fl, 60 * MSEC_SECOND);
-	g_assert_cmpuint(fleet_ready(&fl, &new_model), ==, ENGINES);
+	g_assert_cmpuint(fleet_count_ready(&fl, &new_model), ==, ENGINES);
 	placement_finish(&fl.placement);
 }
 
@@ -289,14 +294,14 @@
 
 	fleet_start(&fl, &new_model);
 	fleet_run(&fl, 9 * MSEC_SECOND);
-	g_assert_cmpuint(fleet_ready(&fl, &new_model), >, 0);
-	g_assert_cmpuint(fleet_ready(&fl, &new_model), <, ENGINES);
+	g_assert_cmpuint(fleet_count_ready(&fl, &new_model), >, 0);
+	g_assert_cmpuint(fleet_count_ready(&fl, &new_model), <, ENGINES);
 	placement_finish(&fl.placement);
-	fleet_holder(&fl, &new_model);
+	fleet_start_holder(&fl, &new_model);
 	fleet_run(&fl, 60 * MSEC_SECOND);
-	g_assert_cmpuint(fleet_ready(&fl, &new_model), ==, ENGINES);
-	g_assert_cmpuint(fleet_ready(&fl, &old_model), ==, 0);
-	g_assert_cmpuint(fl.least_serving, ==, ENGINES);
+	g_assert_cmpuint(fleet_count_ready(&fl, &new_model), ==, ENGINES);
+	g_assert_cmpuint(fleet_count_ready(&fl, &old_model), ==, 0);
+	g_assert_cmpuint(fl.min_serving, ==, ENGINES);
 	placement_finish(&fl.placement);
 }
 
@@ -310,13 +315,13 @@
 	struct fleet fl;
 
 	fleet_start(&fl, &new_model);
-	fl.may_order = false;
+	fl.has_lease = false;
 	fleet_run(&fl, 20 * MSEC_SECOND);
 	g_assert_cmpuint(fl.orders, ==, 0);
-	g_assert_cmpuint(fleet_ready(&fl, &old_model), ==, ENGINES);
-	fl.may_order = true;
+	g_assert_cmpuint(fleet_count_ready(&fl, &old_model), ==, ENGINES);
+	fl.has_lease = true;
 	fleet_run(&fl, 60 * MSEC_SECOND);
-	g_assert_cmpuint(fleet_ready(&fl, &new_model), ==, ENGINES);
+	g_assert_cmpuint(fleet_count_ready(&fl, &new_model), ==, ENGINES);
 	placement_finish(&fl.placement);
 }
 
--- a/tests/test-relay.c
+++ b/tests/test-relay.c
@@ -10,8 +10,8 @@
 #include <string.h>
 
 #define NODES 12
-#define LARGE_NODES 82
-#define EVERY 1000
+#define LARGE_FLEET_NODES 82
+#define INTERVAL_MS 1000
 
 struct world;
 
@@ -22,26 +22,26 @@
 	uint64_t mark; /* version in force here */
 	msec confirmed;
 	unsigned int reads, looks;
-	bool cut;  /* cut off from the other nodes */
-	bool away; /* the platform refuses its reads */
-	unsigned int turned_away;
+	bool isolated; /* cut off from the other nodes */
+	bool refused;  /* the platform refuses its reads */
+	unsigned int refused_reads;
 };
 
-struct parcel {
+struct message {
 	name_id from, to;
 	sp_msg msg;
 };
 
 struct world {
-	struct node nodes[LARGE_NODES];
+	struct node nodes[LARGE_FLEET_NODES];
 	unsigned int n;
-	uint64_t newest; /* version at the platform */
+	uint64_t newest_version; /* version at the platform */
 	msec now;
-	GQueue mail;
+	GQueue messages;
 };
 
 static struct node *
-world_find(struct world *w, name_id id)
+world_find_node(struct world *w, name_id id)
 {
 	unsigned int i;
 
@@ -56,10 +56,10 @@
 node_send(struct relay *r, name_id to, const sp_msg *msg)
 {
 	struct node *v = r->arg;
-	struct parcel *p = g_new0(struct parcel, 1);
+	struct message *p = g_new0(struct message, 1);
 
-	*p = (struct parcel){ r->self, to, *msg };
-	g_queue_push_tail(&v->world->mail, p);
+	*p = (struct message){ r->self, to, *msg };
+	g_queue_push_tail(&v->world->messages, p);
 }
 
 static void
@@ -89,19 +89,19 @@
 static void
 world_init(struct world *w, unsigned int n)
 {
-	name_id ids[LARGE_NODES];
+	name_id ids[LARGE_FLEET_NODES];
 	unsigned int i;
 
 	memset(w, 0, sizeof *w);
-	g_queue_init(&w->mail);
+	g_queue_init(&w->messages);
 	w->n = n;
-	w->newest = 1;
+	w->newest_version = 1;
 	w->now = 10000;
 	for (i = 0; i < n; i++)
 		ids[i] = 100 + i;
 	for (i = 0; i < n; i++) {
 		w->nodes[i].world = w;
-		relay_init(&w->nodes[i].relay, &node_ops, ids[i], EVERY);
+		relay_init(&w->nodes[i].relay, &node_ops, ids[i], INTERVAL_MS);
 		w->nodes[i].relay.arg = &w->nodes[i];
 		relay_set_nodes(&w->nodes[i].relay, ids, n);
 	}
@@ -111,29 +111,29 @@
 node_read(struct node *v, msec now)
 {
 	v->reads++;
-	v->mark = v->world->newest;
+	v->mark = v->world->newest_version;
 	v->confirmed = now;
 	relay_read_succeeded(&v->relay, now, RELAY_CONFIGURATION, v->mark, now);
 	relay_read_succeeded(&v->relay, now, RELAY_SERVERS, 7, now);
 }
 
 static void
-node_turned_away(struct node *v, msec now)
+node_read_refused(struct node *v, msec now)
 {
-	v->turned_away++;
+	v->refused_reads++;
 	relay_read_failed(&v->relay, now, RELAY_CONFIGURATION);
 }
 
 static void
-world_post(struct world *w)
+world_deliver(struct world *w)
 {
-	struct parcel *p;
+	struct message *p;
 	struct node *from, *to;
 
-	while ((p = g_queue_pop_head(&w->mail)) != NULL) {
-		from = world_find(w, p->from);
-		to = world_find(w, p->to);
-		if (!from->cut && !to->cut)
+	while ((p = g_queue_pop_head(&w->messages)) != NULL) {
+		from = world_find_node(w, p->from);
+		to = world_find_node(w, p->to);
+		if (!from->isolated && !to->isolated)
 			relay_receive(&to->relay, w->now, p->from, &p->msg);
 		g_free(p);
 	}
@@ -152,12 +152,12 @@
 			if (relay_due(&w->nodes[i].relay, w->now,
 				RELAY_CONFIGURATION) != 0)
 				continue;
-			if (w->nodes[i].away)
-				node_turned_away(&w->nodes[i], w->now);
+			if (w->nodes[i].refused)
+				node_read_refused(&w->nodes[i], w->now);
 			else
 				node_read(&w->nodes[i], w->now);
 		}
-		world_post(w);
+		world_deliver(w);
 	}
 }
 
@@ -174,7 +174,7 @@
 static struct node *
 world_reader(struct world *w)
 {
-	return world_find(w, w->nodes[0].relay.reader);
+	return world_find_node(w, w->nodes[0].relay.reader);
 }
 
 /* One node reads less than twice a second, and all have recent proofs. */
@@ -189,8 +189,8 @@
 	before = world_reads(&w);
 	for (i = 0; i < 100; i++) {
 		world_run(&w, 100);
-		g_assert_cmpint(
-		    w.now - w.nodes[i % NODES].confirmed, <, EVERY * 14 / 10);
+		g_assert_cmpint(w.now - w.nodes[i % NODES].confirmed, <,
+		    INTERVAL_MS * 14 / 10);
 	}
 	g_assert_cmpuint(world_reads(&w) - before, <=, 18);
 	g_assert_cmpuint(world_reads(&w) - before, >=, 15);
@@ -205,7 +205,7 @@
 
 	world_init(&w, NODES);
 	world_run(&w, 5000);
-	w.newest = 2;
+	w.newest_version = 2;
 	world_run(&w, 600);
 	for (i = 0; i < NODES; i++)
 		g_assert_cmpuint(w.nodes[i].mark, ==, 2);
@@ -223,13 +223,13 @@
 
 	world_init(&w, NODES);
 	world_run(&w, 5000);
-	world_reader(&w)->cut = true;
-	w.newest = 3;
+	world_reader(&w)->isolated = true;
+	w.newest_version = 3;
 	for (k = 0; k < 50; k++) {
 		world_run(&w, 100);
 		for (i = 0; i < NODES; i++)
-			g_assert_cmpint(
-			    w.now - w.nodes[i].confirmed, <, EVERY * 16 / 10);
+			g_assert_cmpint(w.now - w.nodes[i].confirmed, <,
+			    INTERVAL_MS * 16 / 10);
 	}
 	for (i = 0; i < NODES; i++)
 		g_assert_cmpuint(w.nodes[i].mark, ==, 3);
@@ -253,10 +253,10 @@
 	v->relay.next_ask = 0;
 	relay_tick(&v->relay, w.now);
 	relay_receive(&reader->relay, w.now, v->relay.self,
-	    &((struct parcel *)g_queue_peek_tail(&w.mail))->msg);
-	w.newest = 2;
+	    &((struct message *)g_queue_peek_tail(&w.messages))->msg);
+	w.newest_version = 2;
 	w.now += 20000;
-	world_post(&w);
+	world_deliver(&w);
 	g_assert_cmpint(w.now - v->confirmed, >=, 20000);
 	g_assert_cmpint(
 	    relay_due(&v->relay, w.now, RELAY_CONFIGURATION), ==, 0);
@@ -274,13 +274,13 @@
 	world_run(&w, 2000);
 	reader = world_reader(&w);
 	v = reader == &w.nodes[0] ? &w.nodes[1] : &w.nodes[0];
-	w.newest = 9;
+	w.newest_version = 9;
 	before = v->confirmed;
 	w.now += 300;
 	node_read(reader, w.now);
 	v->relay.next_ask = 0;
 	relay_tick(&v->relay, w.now);
-	world_post(&w);
+	world_deliver(&w);
 	g_assert_cmpint(v->confirmed, ==, before);
 	g_assert_cmpuint(v->looks, >, 0);
 	g_assert_cmpint(
@@ -321,7 +321,7 @@
 		ids[i] = name_hash(name);
 	}
 	for (i = 0; i < G_N_ELEMENTS(r); i++) {
-		relay_init(&r[i], &node_ops, ids[i], EVERY);
+		relay_init(&r[i], &node_ops, ids[i], INTERVAL_MS);
 		relay_set_nodes(&r[i], ids, G_N_ELEMENTS(r));
 		g_hash_table_add(readers, &r[i].reader);
 	}
@@ -341,7 +341,7 @@
 	static struct world w;
 	unsigned int i, before;
 
-	world_init(&w, LARGE_NODES);
+	world_init(&w, LARGE_FLEET_NODES);
 	world_run(&w, 3000);
 	before = world_reads(&w);
 	world_run(&w, 10000);
@@ -350,7 +350,7 @@
 	g_assert_cmpuint(world_reads(&w) - before, <=, 54);
 	for (i = 0; i < w.n; i++)
 		g_assert_cmpint(
-		    w.now - w.nodes[i].confirmed, <, EVERY * 14 / 10);
+		    w.now - w.nodes[i].confirmed, <, INTERVAL_MS * 14 / 10);
 }
 
 /*
@@ -385,25 +385,25 @@
 	msec now = 10000, wait, most = 0;
 	unsigned int n = 0;
 
-	relay_init(&r, &node_ops, 1, EVERY);
+	relay_init(&r, &node_ops, 1, INTERVAL_MS);
 	/* Before the first successful read, the node retries sooner. */
 	relay_read_failed(&r, now, RELAY_CONFIGURATION);
 	relay_read_failed(&r, now, RELAY_CONFIGURATION);
 	wait = relay_due(&r, now, RELAY_CONFIGURATION);
-	g_assert_cmpint(wait, >=, EVERY / 4);
-	g_assert_cmpint(wait, <=, EVERY / 2);
+	g_assert_cmpint(wait, >=, INTERVAL_MS / 4);
+	g_assert_cmpint(wait, <=, INTERVAL_MS / 2);
 	relay_read_succeeded(&r, now, RELAY_CONFIGURATION, 1, now);
-	for (now += EVERY; now < 22000; now += wait, n++) {
+	for (now += INTERVAL_MS; now < 22000; now += wait, n++) {
 		relay_read_failed(&r, now, RELAY_CONFIGURATION);
 		wait = relay_due(&r, now, RELAY_CONFIGURATION);
 		most = MAX(most, wait);
 	}
 	g_assert_cmpuint(n, <=, 18);
-	g_assert_cmpint(most, <=, EVERY * 12 / 10);
+	g_assert_cmpint(most, <=, INTERVAL_MS * 12 / 10);
 	/* A successful read ends the retries. */
 	relay_read_succeeded(&r, now, RELAY_CONFIGURATION, 1, now);
-	g_assert_cmpint(
-	    relay_due(&r, now, RELAY_CONFIGURATION), ==, EVERY * 60 / 100);
+	g_assert_cmpint(relay_due(&r, now, RELAY_CONFIGURATION), ==,
+	    INTERVAL_MS * 60 / 100);
 }
 
 /*
@@ -415,28 +415,29 @@
 {
 	static struct world w;
 	struct node *reader;
-	unsigned int i, k, before, away = 0;
+	unsigned int i, k, before, refused = 0;
 
 	world_init(&w, RELAY_GROUP_NODES);
 	world_run(&w, 3000);
 	reader = world_reader(&w);
 	for (i = 0; i < w.n; i++)
-		w.nodes[i].away = &w.nodes[i] == reader || i % 3 == 0;
+		w.nodes[i].refused = &w.nodes[i] == reader || i % 3 == 0;
 	before = world_reads(&w);
 	for (k = 0; k < 90; k++) {
 		world_run(&w, 100);
 		for (i = 0; i < w.n; i++)
 			g_assert_cmpint(w.now - w.nodes[i].confirmed, <,
-			    w.nodes[i].away ? EVERY * 4 : EVERY * 2);
+			    w.nodes[i].refused ? INTERVAL_MS * 4
+					       : INTERVAL_MS * 2);
 	}
 	for (i = 0; i < w.n; i++)
-		away += w.nodes[i].turned_away;
+		refused += w.nodes[i].refused_reads;
 	/* Up to three rounds of all nodes until they poll one that can read. */
 	g_assert_cmpuint(world_reads(&w) - before, <=, 3 * w.n + 18);
-	g_assert_cmpuint(away, <=, 4 * w.n);
+	g_assert_cmpuint(refused, <=, 4 * w.n);
 	/* When the platform accepts the reader again, only the reader reads. */
 	for (i = 0; i < w.n; i++)
-		w.nodes[i].away = false;
+		w.nodes[i].refused = false;
 	world_run(&w, 30000);
 	before = world_reads(&w);
 	world_run(&w, 10000);
@@ -456,8 +457,8 @@
 	struct node v = { .world = &w };
 	struct relay *r = &v.relay;
 
-	g_queue_init(&w.mail);
-	relay_init(r, &node_ops, 1, EVERY);
+	g_queue_init(&w.messages);
+	relay_init(r, &node_ops, 1, INTERVAL_MS);
 	r->arg = &v;
 	relay_set_nodes(r, others, 2);
 	r->reader = 2;
@@ -473,7 +474,7 @@
 	g_assert_cmpint(v.confirmed, ==, 0);
 	relay_read_succeeded(r, 1300, RELAY_CONFIGURATION, 7, 1250);
 	g_assert_cmpint(r->known[RELAY_CONFIGURATION].confirmed, ==, 1250);
-	g_queue_clear_full(&w.mail, g_free);
+	g_queue_clear_full(&w.messages, g_free);
 }
 
 int
--- a/tests/test-request.c
+++ b/tests/test-request.c
@@ -10,115 +10,117 @@
 
 #define RANDOM_EVENTS 1200000
 #define RANDOM_SEED 20261202
-#define WHOLE_TOKENS 8
+#define ANSWER_TOKENS 8
 
 /* A request, and what really happened to it at the backend servers. */
-struct probe {
+struct test_request {
 	struct request request;
 	unsigned int
-	    executions;	    /* times that a backend server began to run it */
-	unsigned int live;  /* attempt that a backend server works on */
-	unsigned int stale; /* attempt stopped, its end still to come */
+	    executions; /* times that a backend server began to run it */
+	unsigned int live_attempt; /* attempt that a backend server works on */
+	unsigned int
+	    stopped_attempt;	/* attempt stopped, its end still to come */
 	unsigned int delivered; /* tokens passed to the caller, in order */
-	unsigned int finishes;
-	bool waiting; /* queued in dispatch */
-	bool slot;    /* a slot is held */
-	bool whole;   /* an attempt ended with the whole answer */
+	unsigned int finish_calls;
+	bool queued;   /* queued in dispatch */
+	bool has_slot; /* a slot is held */
+	bool whole;    /* an attempt ended with the whole answer */
 };
 
-static void probe_submit(struct request *, msec);
-static void probe_withdraw(struct request *, msec);
-static void probe_start(struct request *, msec);
-static void probe_stop(struct request *, msec);
-static void probe_release(struct request *, msec, enum attempt_end);
-static void probe_finish(struct request *, msec);
+static void op_submit(struct request *, msec);
+static void op_withdraw(struct request *, msec);
+static void op_start(struct request *, msec);
+static void op_stop(struct request *, msec);
+static void op_release(struct request *, msec, enum attempt_end);
+static void op_finish(struct request *, msec);
 
-static const struct request_ops probe_ops = { probe_submit, probe_withdraw,
-	probe_start, probe_stop, probe_release, probe_finish };
+static const struct request_ops request_test_ops = { op_submit, op_withdraw,
+	op_start, op_stop, op_release, op_finish };
 
 static void
-probe_submit(struct request *r, msec now)
+op_submit(struct request *r, msec now)
 {
-	struct probe *p = (struct probe *)r;
+	struct test_request *p = (struct test_request *)r;
 
-	g_assert_false(p->waiting);
-	g_assert_false(p->slot);
-	p->waiting = true;
+	g_assert_false(p->queued);
+	g_assert_false(p->has_slot);
+	p->queued = true;
 }
 
 static void
-probe_withdraw(struct request *r, msec now)
+op_withdraw(struct request *r, msec now)
 {
-	((struct probe *)r)->waiting = false;
+	((struct test_request *)r)->queued = false;
 }
 
 static void
-probe_start(struct request *r, msec now)
+op_start(struct request *r, msec now)
 {
-	struct probe *p = (struct probe *)r;
+	struct test_request *p = (struct test_request *)r;
 
-	g_assert_cmpuint(r->attempt, >, p->live);
+	g_assert_cmpuint(r->attempt, >, p->live_attempt);
 	g_assert_cmpuint(r->tokens, ==, p->delivered);
-	p->live = r->attempt;
+	p->live_attempt = r->attempt;
 }
 
 static void
-probe_stop(struct request *r, msec now)
+op_stop(struct request *r, msec now)
 {
-	struct probe *p = (struct probe *)r;
+	struct test_request *p = (struct test_request *)r;
 
-	p->stale = p->live;
+	p->stopped_attempt = p->live_attempt;
 }
 
 static void
-probe_release(struct request *r, msec now, enum attempt_end how)
+op_release(struct request *r, msec now, enum attempt_end how)
 {
-	struct probe *p = (struct probe *)r;
+	struct test_request *p = (struct test_request *)r;
 
-	g_assert_true(p->slot);
-	p->slot = false;
+	g_assert_true(p->has_slot);
+	p->has_slot = false;
 }
 
 /* Checks the outcome against what really happened. */
 static void
-probe_finish(struct request *r, msec now)
+op_finish(struct request *r, msec now)
 {
-	struct probe *p = (struct probe *)r;
+	struct test_request *p = (struct test_request *)r;
 
-	p->finishes++;
-	g_assert_cmpuint(p->finishes, ==, 1);
-	g_assert_false(p->slot);
+	p->finish_calls++;
+	g_assert_cmpuint(p->finish_calls, ==, 1);
+	g_assert_false(p->has_slot);
 	if (r->outcome == REQUEST_NOT_RUN) {
 		g_assert_cmpuint(p->executions, ==, 0);
 		g_assert_cmpuint(p->delivered, ==, 0);
 	}
 	if (r->outcome == REQUEST_RAN) {
 		g_assert_true(p->whole);
-		g_assert_cmpuint(p->delivered, ==, WHOLE_TOKENS);
+		g_assert_cmpuint(p->delivered, ==, ANSWER_TOKENS);
 	}
 	if (!r->repeatable)
 		g_assert_cmpuint(p->executions, <=, 1);
 }
 
 static void
-probe_init(
-    struct probe *p, struct request_shared *b, bool repeatable, bool resumable)
+test_request_init(struct test_request *p, struct request_shared *b,
+    bool repeatable, bool resumable)
 {
 	memset(p, 0, sizeof *p);
 	request_init(&p->request, b, repeatable, resumable);
 }
 
 static void
-probe_grant(struct probe *p)
+test_request_grant(struct test_request *p)
 {
-	p->waiting = false;
-	p->slot = true;
+	p->queued = false;
+	p->has_slot = true;
 	request_granted(&p->request, 0);
 }
 
 /* The live attempt delivers up to `tokens` tokens, then ends. */
 static void
-probe_run(struct probe *p, unsigned int tokens, enum attempt_end how)
+test_request_run_attempt(
+    struct test_request *p, unsigned int tokens, enum attempt_end how)
 {
 	unsigned int attempt = p->request.attempt;
 
@@ -135,13 +137,13 @@
 test_whole(void)
 {
 	struct request_shared b;
-	struct probe p;
+	struct test_request p;
 
-	request_shared_init(&b, &probe_ops);
-	probe_init(&p, &b, true, true);
+	request_shared_init(&b, &request_test_ops);
+	test_request_init(&p, &b, true, true);
 	request_go(&p.request, 0);
-	probe_grant(&p);
-	probe_run(&p, WHOLE_TOKENS, ATTEMPT_WHOLE);
+	test_request_grant(&p);
+	test_request_run_attempt(&p, ANSWER_TOKENS, ATTEMPT_WHOLE);
 	g_assert_cmpint(p.request.outcome, ==, REQUEST_RAN);
 	g_assert_cmpuint(b.wasted_tokens, ==, 0);
 }
@@ -154,13 +156,13 @@
 test_booking_read_then_closed(void)
 {
 	struct request_shared b;
-	struct probe p;
+	struct test_request p;
 
-	request_shared_init(&b, &probe_ops);
-	probe_init(&p, &b, false, false);
+	request_shared_init(&b, &request_test_ops);
+	test_request_init(&p, &b, false, false);
 	request_go(&p.request, 0);
-	probe_grant(&p);
-	probe_run(&p, 0, ATTEMPT_BROKEN);
+	test_request_grant(&p);
+	test_request_run_attempt(&p, 0, ATTEMPT_BROKEN);
 	g_assert_cmpint(p.request.outcome, ==, REQUEST_UNKNOWN);
 	g_assert_cmpuint(p.request.attempts, ==, 1);
 }
@@ -174,14 +176,14 @@
 test_booking_refused(void)
 {
 	struct request_shared b;
-	struct probe p;
+	struct test_request p;
 
-	request_shared_init(&b, &probe_ops);
-	probe_init(&p, &b, false, false);
+	request_shared_init(&b, &request_test_ops);
+	test_request_init(&p, &b, false, false);
 	request_go(&p.request, 0);
-	while (p.finishes == 0) {
-		probe_grant(&p);
-		probe_run(&p, 0, ATTEMPT_UNSENT);
+	while (p.finish_calls == 0) {
+		test_request_grant(&p);
+		test_request_run_attempt(&p, 0, ATTEMPT_UNSENT);
 	}
 	g_assert_cmpint(p.request.outcome, ==, REQUEST_NOT_RUN);
 	g_assert_cmpuint(p.request.attempts, ==, REQUEST_ATTEMPTS_MAX);
@@ -195,17 +197,17 @@
 test_crash_mid_answer(void)
 {
 	struct request_shared b;
-	struct probe p;
+	struct test_request p;
 
-	request_shared_init(&b, &probe_ops);
-	probe_init(&p, &b, true, true);
+	request_shared_init(&b, &request_test_ops);
+	test_request_init(&p, &b, true, true);
 	request_go(&p.request, 0);
-	probe_grant(&p);
-	probe_run(&p, 3, ATTEMPT_BROKEN);
-	g_assert_true(p.waiting);
-	probe_grant(&p);
+	test_request_grant(&p);
+	test_request_run_attempt(&p, 3, ATTEMPT_BROKEN);
+	g_assert_true(p.queued);
+	test_request_grant(&p);
 	g_assert_cmpuint(p.request.tokens, ==, 3);
-	probe_run(&p, WHOLE_TOKENS, ATTEMPT_WHOLE);
+	test_request_run_attempt(&p, ANSWER_TOKENS, ATTEMPT_WHOLE);
 	g_assert_cmpint(p.request.outcome, ==, REQUEST_RAN);
 	g_assert_cmpuint(b.resumed, ==, 1);
 }
@@ -219,13 +221,13 @@
 test_crash_not_resumable(void)
 {
 	struct request_shared b;
-	struct probe p;
+	struct test_request p;
 
-	request_shared_init(&b, &probe_ops);
-	probe_init(&p, &b, true, false);
+	request_shared_init(&b, &request_test_ops);
+	test_request_init(&p, &b, true, false);
 	request_go(&p.request, 0);
-	probe_grant(&p);
-	probe_run(&p, 3, ATTEMPT_BROKEN);
+	test_request_grant(&p);
+	test_request_run_attempt(&p, 3, ATTEMPT_BROKEN);
 	g_assert_cmpint(p.request.outcome, ==, REQUEST_UNKNOWN);
 	g_assert_cmpint(p.request.code, ==, REQUEST_CODE_BROKEN);
 	g_assert_cmpuint(b.wasted_tokens, ==, 3);
@@ -239,16 +241,16 @@
 test_retry_budget(void)
 {
 	struct request_shared b;
-	struct probe p;
+	struct test_request p;
 	unsigned int i, n = 2000;
 
-	request_shared_init(&b, &probe_ops);
+	request_shared_init(&b, &request_test_ops);
 	for (i = 0; i < n; i++) {
-		probe_init(&p, &b, true, true);
+		test_request_init(&p, &b, true, true);
 		request_go(&p.request, 0);
-		while (p.finishes == 0) {
-			probe_grant(&p);
-			probe_run(&p, 0, ATTEMPT_BROKEN);
+		while (p.finish_calls == 0) {
+			test_request_grant(&p);
+			test_request_run_attempt(&p, 0, ATTEMPT_BROKEN);
 		}
 		g_assert_cmpint(p.request.outcome, ==, REQUEST_UNKNOWN);
 	}
@@ -264,24 +266,24 @@
 test_late_end(void)
 {
 	struct request_shared b;
-	struct probe p;
+	struct test_request p;
 
-	request_shared_init(&b, &probe_ops);
-	probe_init(&p, &b, true, true);
+	request_shared_init(&b, &request_test_ops);
+	test_request_init(&p, &b, true, true);
 	request_go(&p.request, 0);
-	probe_grant(&p);
-	probe_run(&p, 2, ATTEMPT_BROKEN);
-	probe_grant(&p);
+	test_request_grant(&p);
+	test_request_run_attempt(&p, 2, ATTEMPT_BROKEN);
+	test_request_grant(&p);
 	request_ended(&p.request, 0, 1, ATTEMPT_WHOLE, 5);
 	g_assert_cmpuint(b.late, ==, 1);
 	g_assert_cmpint(p.request.state, ==, REQUEST_DISPATCHED);
-	probe_run(&p, WHOLE_TOKENS, ATTEMPT_WHOLE);
+	test_request_run_attempt(&p, ANSWER_TOKENS, ATTEMPT_WHOLE);
 	g_assert_cmpint(p.request.outcome, ==, REQUEST_RAN);
 }
 
 /* Applies one random event to the request. */
 static void
-probe_step(struct probe *p, GRand *rng)
+test_request_random_event(struct test_request *p, GRand *rng)
 {
 	struct request *r = &p->request;
 	unsigned int attempt = r->attempt;
@@ -292,34 +294,37 @@
 		break;
 	case 1:
 	case 2:
-		if (p->waiting)
-			probe_grant(p);
+		if (p->queued)
+			test_request_grant(p);
 		break;
 	case 3:
-		if (p->waiting) {
-			p->waiting = false;
+		if (p->queued) {
+			p->queued = false;
 			request_refused(r, 0, REQUEST_CODE_OVERLOADED, 100);
 		}
 		break;
 	case 4:
-		if (p->slot)
-			probe_run(p, p->delivered, ATTEMPT_UNSENT);
+		if (p->has_slot)
+			test_request_run_attempt(
+			    p, p->delivered, ATTEMPT_UNSENT);
 		break;
 	case 5:
-		if (p->slot)
-			probe_run(p, p->delivered, ATTEMPT_REJECTED);
+		if (p->has_slot)
+			test_request_run_attempt(
+			    p, p->delivered, ATTEMPT_REJECTED);
 		break;
 	case 6:
 	case 7:
-		if (p->slot)
-			probe_run(p,
+		if (p->has_slot)
+			test_request_run_attempt(p,
 			    (unsigned int)g_rand_int_range(
-				rng, (gint)p->delivered, WHOLE_TOKENS + 1),
+				rng, (gint)p->delivered, ANSWER_TOKENS + 1),
 			    ATTEMPT_BROKEN);
 		break;
 	case 8:
-		if (p->slot)
-			probe_run(p, WHOLE_TOKENS, ATTEMPT_WHOLE);
+		if (p->has_slot)
+			test_request_run_attempt(
+			    p, ANSWER_TOKENS, ATTEMPT_WHOLE);
 		break;
 	case 9:
 		/* Late, repeated and wrong reports of other attempts. */
@@ -332,13 +337,13 @@
 		if (g_rand_int_range(rng, 0, 10) != 0)
 			break;
 		/* The server may still run the request. */
-		if (p->slot)
+		if (p->has_slot)
 			p->executions++;
-		p->waiting = false;
+		p->queued = false;
 		request_caller_gone(r, 0);
 		break;
 	case 11:
-		if (p->slot)
+		if (p->has_slot)
 			request_preempt(r, 0);
 		break;
 	}
@@ -350,19 +355,20 @@
 {
 	GRand *rng = g_rand_new_with_seed(RANDOM_SEED);
 	struct request_shared b;
-	struct probe p;
+	struct test_request p;
 	unsigned int i, done = 0;
 
 	g_test_message("seed %u", RANDOM_SEED);
-	request_shared_init(&b, &probe_ops);
-	probe_init(&p, &b, true, true);
+	request_shared_init(&b, &request_test_ops);
+	test_request_init(&p, &b, true, true);
 	for (i = 0; i < RANDOM_EVENTS; i++) {
-		probe_step(&p, rng);
-		if (p.finishes == 0)
+		test_request_random_event(&p, rng);
+		if (p.finish_calls == 0)
 			continue;
 		done++;
-		probe_step(&p, rng);
-		probe_init(&p, &b, g_rand_boolean(rng), g_rand_boolean(rng));
+		test_request_random_event(&p, rng);
+		test_request_init(
+		    &p, &b, g_rand_boolean(rng), g_rand_boolean(rng));
 	}
 	g_assert_cmpuint(done, >, RANDOM_EVENTS / 100);
 	g_assert_cmpuint(b.outcomes[REQUEST_RAN], >, 1000);
--- a/tests/test-retry-budget.c
+++ b/tests/test-retry-budget.c
@@ -25,8 +25,8 @@
 test_sum(void)
 {
 	struct retry_budget b[NODES_MAX];
-	static unsigned int took[STEPS], asked[STEPS];
-	unsigned int i, t, live, retries, requests, known, j;
+	static unsigned int retried[STEPS], requested[STEPS];
+	unsigned int i, t, live, retries, requests, counted_nodes, j;
 	msec now;
 
 	for (i = 0; i < NODES_MAX; i++)
@@ -34,21 +34,21 @@
 	for (t = 0; t < STEPS; t++) {
 		now = (msec)t * STEP_MS;
 		live = now < 30000 ? 8 : 16;
-		known = now < 45000 ? 8 : 16;
+		counted_nodes = now < 45000 ? 8 : 16;
 		for (i = 0; i < live; i++) {
 			if ((t + i) % 10 == 0) {
 				retry_budget_request(&b[i], &config, now);
-				asked[t]++;
+				requested[t]++;
 			}
-			took[t] += retry_budget_take(
-			    &b[i], &config, now, i < 8 ? known : 16);
+			retried[t] += retry_budget_take(
+			    &b[i], &config, now, i < 8 ? counted_nodes : 16);
 		}
 		/* The window that ends at this step. */
 		retries = requests = 0;
 		for (j = t >= WINDOW / STEP_MS ? t - WINDOW / STEP_MS + 1 : 0;
 		     j <= t; j++) {
-			retries += took[j];
-			requests += asked[j];
+			retries += retried[j];
+			requests += requested[j];
 		}
 		g_assert_cmpuint(retries, <=, requests * 200 / 1000 + 56);
 	}
--- a/tests/test-route.c
+++ b/tests/test-route.c
@@ -7,7 +7,7 @@
 #include "route.h"
 
 static struct route_table *
-table(void)
+table_new(void)
 {
 	static const struct {
 		const char *host, *prefix, *service;
@@ -44,7 +44,7 @@
 }
 
 static void
-check_find(
+check_route(
     struct route_table *t, const char *host, const char *path, const char *name)
 {
 	const struct route *r = route_find(t, host, path);
@@ -55,24 +55,24 @@
 static void
 test_find(void)
 {
-	struct route_table *t = table();
-
-	check_find(t, "a.example", "/x/y/z", "y");
-	check_find(t, "A.Example:8080", "/x/y/?q=/", "y");
-	check_find(t, "a.example", "/x/z", "x");
-	check_find(t, "a.example", "/x", "all");
-	check_find(t, "a.example", "/other?/x/", "all");
-	check_find(t, "b.example", "/x/", "b");
-	check_find(t, "b.example", "/", NULL);
-	check_find(t, "c.example", "/", NULL);
-	check_find(t, "a.example.com", "/", NULL);
+	struct route_table *t = table_new();
+
+	check_route(t, "a.example", "/x/y/z", "y");
+	check_route(t, "A.Example:8080", "/x/y/?q=/", "y");
+	check_route(t, "a.example", "/x/z", "x");
+	check_route(t, "a.example", "/x", "all");
+	check_route(t, "a.example", "/other?/x/", "all");
+	check_route(t, "b.example", "/x/", "b");
+	check_route(t, "b.example", "/", NULL);
+	check_route(t, "c.example", "/", NULL);
+	check_route(t, "a.example.com", "/", NULL);
 	route_table_drop(t);
 }
 
 static void
 test_keys(void)
 {
-	struct route_table *t = table();
+	struct route_table *t = table_new();
 
 	g_assert_cmpstr(route_organisation_of(t, "k2")->name, ==, "first");
 	g_assert_cmpstr(route_organisation_of(t, "k3")->name, ==, "second");
@@ -107,7 +107,7 @@
 static void
 test_rank(void)
 {
-	struct route_table *t = table();
+	struct route_table *t = table_new();
 	const struct route_organisation *first = &t->organisations[0];
 	const struct route_organisation *second = &t->organisations[1];
 	const struct route *urgent = route_find(t, "a.example", "/x/y/");
--- a/tests/test-server-mix.c
+++ b/tests/test-server-mix.c
@@ -12,7 +12,7 @@
 };
 
 static void
-traffic(struct mix *m, unsigned int n)
+add_requests(struct mix *m, unsigned int n)
 {
 	unsigned int i;
 
@@ -28,7 +28,7 @@
 {
 	struct mix m = { 0 };
 
-	traffic(&m, 10);
+	add_requests(&m, 10);
 	g_assert_true(mix_is_light(&m, SHORT));
 	g_assert_false(mix_is_light(&m, MIDDLE));
 	g_assert_false(mix_is_light(&m, LONG));
@@ -63,7 +63,7 @@
 	unsigned int i, changes = 0;
 	bool light, was;
 
-	traffic(&m, 100);
+	add_requests(&m, 100);
 	was = mix_is_light(&m, SHORT);
 	for (i = 0; i < 2000; i++) {
 		/* The short prompts are 0.16 and 0.2 of the longest. */
@@ -146,7 +146,7 @@
 	struct mix m = { 0 };
 	unsigned int i;
 
-	traffic(&m, 10);
+	add_requests(&m, 10);
 	for (i = 0; i < 50; i++)
 		mix_started(&m, 0, SHORT);
 	g_assert_cmpuint(mix_quiet_servers(&m, 20000, 1, 18, 64), ==, 4);
@@ -162,7 +162,7 @@
 	struct mix m = { 0 };
 	unsigned int i;
 
-	traffic(&m, 10);
+	add_requests(&m, 10);
 	for (i = 0; i < 20; i++)
 		mix_started(&m, 0, SHORT);
 	g_assert_cmpuint(mix_quiet_servers(&m, 10000, 1, 18, 64), ==, 2);
--- a/tests/test-server.c
+++ b/tests/test-server.c
@@ -7,23 +7,24 @@
 
 #include <string.h>
 
-static unsigned int changes;
+static unsigned int changed_calls;
 
 static void
-changed(struct servers *s, struct server *v)
+op_changed(struct servers *s, struct server *v)
 {
-	changes++;
+	changed_calls++;
 }
 
 static void
-removed(struct servers *s, struct server *v)
+op_removed(struct servers *s, struct server *v)
 {
 }
 
-static const struct server_ops ops = { changed, removed };
+static const struct server_ops ops = { op_changed, op_removed };
 
 static void
-list(struct servers *s, msec now, const char *name, bool draining, int64_t born)
+list_server(
+    struct servers *s, msec now, const char *name, bool draining, int64_t born)
 {
 	struct server_entry e = { .name = name,
 		.service = "svc",
@@ -38,7 +39,7 @@
 }
 
 static enum server_state
-state_of(struct servers *s, const char *name)
+server_state_of(struct servers *s, const char *name)
 {
 	return servers_find(s, name_hash(name))->state;
 }
@@ -54,12 +55,12 @@
 	struct servers s;
 
 	servers_init(&s, &ops);
-	list(&s, 0, "a", false, 5);
-	list(&s, 1, "a", true, 5);
-	list(&s, 2, "a", false, 5);
-	g_assert_cmpint(state_of(&s, "a"), ==, SERVER_DRAINING);
-	list(&s, 3, "a", false, 6);
-	g_assert_cmpint(state_of(&s, "a"), ==, SERVER_READY);
+	list_server(&s, 0, "a", false, 5);
+	list_server(&s, 1, "a", true, 5);
+	list_server(&s, 2, "a", false, 5);
+	g_assert_cmpint(server_state_of(&s, "a"), ==, SERVER_DRAINING);
+	list_server(&s, 3, "a", false, 6);
+	g_assert_cmpint(server_state_of(&s, "a"), ==, SERVER_READY);
 	servers_finish(&s);
 }
 
@@ -73,16 +74,16 @@
 	struct servers s;
 
 	servers_init(&s, &ops);
-	list(&s, 0, "a", false, 0);
-	list(&s, 0, "b", false, 0);
+	list_server(&s, 0, "a", false, 0);
+	list_server(&s, 0, "b", false, 0);
 	servers_keep_unlisted(&s, 3000);
 	servers_unlist(&s, 1000, "a");
 	servers_unlist(&s, 1000, "b");
 	servers_tick(&s, 1001);
-	g_assert_cmpint(state_of(&s, "a"), ==, SERVER_READY);
-	list(&s, 2000, "a", false, 0);
+	g_assert_cmpint(server_state_of(&s, "a"), ==, SERVER_READY);
+	list_server(&s, 2000, "a", false, 0);
 	servers_tick(&s, 3000);
-	g_assert_cmpint(state_of(&s, "a"), ==, SERVER_READY);
+	g_assert_cmpint(server_state_of(&s, "a"), ==, SERVER_READY);
 	/* The entry of the other server did not return. */
 	servers_tick(&s, 3001);
 	g_assert_null(servers_find(&s, name_hash("b")));
@@ -102,30 +103,30 @@
 
 	servers_init(&s, &ops);
 	servers_set_retention(&s, 20000);
-	list(&s, 0, "a", false, 5);
-	list(&s, 0, "b", true, 5);
-	list(&s, 0, "c", false, 9);
+	list_server(&s, 0, "a", false, 5);
+	list_server(&s, 0, "b", true, 5);
+	list_server(&s, 0, "c", false, 9);
 	servers_unlist(&s, 100, "a");
 	servers_tick(&s, 200);
 	servers_keep_gone(&s, 6000);
 	gone = servers_mark(&s);
-	list(&s, 1000, "a", false, 5);
-	list(&s, 1000, "b", false, 5);
+	list_server(&s, 1000, "a", false, 5);
+	list_server(&s, 1000, "b", false, 5);
 	/* An entry of an earlier process. */
-	list(&s, 1000, "c", true, 4);
+	list_server(&s, 1000, "c", true, 4);
 	again = servers_mark(&s);
-	g_assert_cmpint(state_of(&s, "a"), ==, SERVER_GONE);
-	g_assert_cmpint(state_of(&s, "b"), ==, SERVER_DRAINING);
-	g_assert_cmpint(state_of(&s, "c"), ==, SERVER_READY);
+	g_assert_cmpint(server_state_of(&s, "a"), ==, SERVER_GONE);
+	g_assert_cmpint(server_state_of(&s, "b"), ==, SERVER_DRAINING);
+	g_assert_cmpint(server_state_of(&s, "c"), ==, SERVER_READY);
 	/* The mark includes the listed entry, as at nodes that trust the list.
 	 */
 	g_assert_cmpuint(again, !=, gone);
 	servers_unlist(&s, 2000, "a");
 	g_assert_cmpuint(servers_mark(&s), ==, gone);
-	list(&s, 3000, "a", false, 5);
-	list(&s, 3100, "a", true, 5);
+	list_server(&s, 3000, "a", false, 5);
+	list_server(&s, 3100, "a", true, 5);
 	servers_tick(&s, 7000);
-	g_assert_cmpint(state_of(&s, "a"), ==, SERVER_GONE);
+	g_assert_cmpint(server_state_of(&s, "a"), ==, SERVER_GONE);
 	servers_finish(&s);
 }
 
@@ -137,19 +138,19 @@
 
 	servers_init(&s, &ops);
 	servers_set_retention(&s, 20000);
-	list(&s, 0, "a", false, 5);
+	list_server(&s, 0, "a", false, 5);
 	servers_unlist(&s, 100, "a");
 	servers_keep_gone(&s, 6000);
-	list(&s, 1000, "a", false, 5);
+	list_server(&s, 1000, "a", false, 5);
 	servers_tick(&s, 5900);
-	g_assert_cmpint(state_of(&s, "a"), ==, SERVER_GONE);
+	g_assert_cmpint(server_state_of(&s, "a"), ==, SERVER_GONE);
 	servers_tick(&s, 6000);
-	g_assert_cmpint(state_of(&s, "a"), ==, SERVER_READY);
+	g_assert_cmpint(server_state_of(&s, "a"), ==, SERVER_READY);
 	/* A new process with the same name is ready at once. */
 	servers_unlist(&s, 7000, "a");
 	servers_keep_gone(&s, 15000);
-	list(&s, 8000, "a", false, 6);
-	g_assert_cmpint(state_of(&s, "a"), ==, SERVER_READY);
+	list_server(&s, 8000, "a", false, 6);
+	g_assert_cmpint(server_state_of(&s, "a"), ==, SERVER_READY);
 	servers_finish(&s);
 }
 
@@ -165,16 +166,16 @@
 
 	servers_init(&held, &ops);
 	servers_init(&other, &ops);
-	list(&held, 0, "a", false, 0);
-	list(&held, 0, "b", false, 0);
-	list(&other, 0, "a", false, 0);
-	list(&other, 0, "b", false, 0);
+	list_server(&held, 0, "a", false, 0);
+	list_server(&held, 0, "b", false, 0);
+	list_server(&other, 0, "a", false, 0);
+	list_server(&other, 0, "b", false, 0);
 	servers_keep_unlisted(&held, 3000);
 	servers_unlist(&held, 1000, "a");
 	servers_unlist(&other, 1000, "a");
-	g_assert_cmpint(state_of(&held, "a"), ==, SERVER_READY);
+	g_assert_cmpint(server_state_of(&held, "a"), ==, SERVER_READY);
 	g_assert_cmpuint(servers_mark(&held), ==, servers_mark(&other));
-	list(&held, 2000, "a", false, 0);
+	list_server(&held, 2000, "a", false, 0);
 	g_assert_cmpuint(servers_mark(&held), !=, servers_mark(&other));
 	servers_finish(&held);
 	servers_finish(&other);
@@ -189,34 +190,34 @@
 	unsigned int i;
 
 	servers_init(&s, &ops);
-	list(&s, 0, "a", false, 5);
+	list_server(&s, 0, "a", false, 5);
 	v = servers_find(&s, name_hash("a"));
 	for (i = 0; i < 5; i++)
 		server_record_result(v, 100, SERVER_FAILED);
 	g_assert_cmpint(v->resting_until, >, 100);
-	changes = 0;
-	list(&s, 200, "a", false, 9);
+	changed_calls = 0;
+	list_server(&s, 200, "a", false, 9);
 	g_assert_cmpint(v->resting_until, ==, 0);
-	g_assert_cmpuint(changes, ==, 1);
+	g_assert_cmpuint(changed_calls, ==, 1);
 	servers_finish(&s);
 }
 
 static const struct server_wish light = { .own = 1000, .shared = 300 };
 
 static void
-many(struct servers *s, unsigned int n)
+list_servers(struct servers *s, unsigned int n)
 {
 	char name[16];
 	unsigned int i;
 
 	for (i = 0; i < n; i++) {
 		g_snprintf(name, sizeof name, "s%u", i);
-		list(s, 0, name, false, 0);
+		list_server(s, 0, name, false, 0);
 	}
 }
 
 static struct server *
-choose(
+choose_server(
     struct servers *s, msec now, uint64_t prompt, const struct server_view *v)
 {
 	struct server_wish w = { .service = name_hash("svc"),
@@ -229,14 +230,14 @@
 
 /* How many of the requests, one each millisecond, go to server `v`. */
 static unsigned int
-chosen(struct servers *s, const struct server *v, msec from, msec until,
+count_chosen(struct servers *s, const struct server *v, msec from, msec until,
     const struct server_view *view)
 {
 	unsigned int n = 0;
 	msec now;
 
 	for (now = from; now < until; now++)
-		n += choose(s, now, 0, view) == v;
+		n += choose_server(s, now, 0, view) == v;
 	return n;
 }
 
@@ -257,25 +258,25 @@
 	struct servers s;
 
 	servers_init(&s, &ops);
-	list(&s, 0, "a", false, 5);
-	list(&s, 0, "b", false, 5);
+	list_server(&s, 0, "a", false, 5);
+	list_server(&s, 0, "b", false, 5);
 	down = servers_find(&s, name_hash("a"));
 	limited = servers_find(&s, name_hash("b"));
 	server_rate_update(&limited->rate, 1000, 1000, SERVER_RATE_MIN);
 	server_record_result(down, 1000, SERVER_DOWN);
-	g_assert_cmpuint(chosen(&s, down, 1000, 3000, &view), <=, 4);
-	g_assert_cmpuint(chosen(&s, down, 3000, 5000, &view), >=, 3);
+	g_assert_cmpuint(count_chosen(&s, down, 1000, 3000, &view), <=, 4);
+	g_assert_cmpuint(count_chosen(&s, down, 3000, 5000, &view), >=, 3);
 	/* A node that is not the only one to decide tries it less often. */
 	view.sole = false;
-	g_assert_cmpuint(chosen(&s, down, 5000, 9000, &view), <=, 1);
+	g_assert_cmpuint(count_chosen(&s, down, 5000, 9000, &view), <=, 1);
 	view.sole = true;
 	server_record_result(down, 9000, SERVER_FULL);
-	g_assert_cmpuint(chosen(&s, down, 9000, 9100, &view), ==, 100);
+	g_assert_cmpuint(count_chosen(&s, down, 9000, 9100, &view), ==, 100);
 	/* Also without any other server; a new process is used at once. */
 	server_record_result(down, 10000, SERVER_DOWN);
-	g_assert_cmpuint(chosen(&s, down, 10000, 10100, &view), <=, 1);
-	list(&s, 10100, "a", false, 6);
-	g_assert_cmpuint(chosen(&s, down, 10100, 10200, &view), ==, 100);
+	g_assert_cmpuint(count_chosen(&s, down, 10000, 10100, &view), <=, 1);
+	list_server(&s, 10100, "a", false, 6);
+	g_assert_cmpuint(count_chosen(&s, down, 10100, 10200, &view), ==, 100);
 	servers_finish(&s);
 }
 
@@ -291,16 +292,16 @@
 
 	servers_init(&a, &ops);
 	servers_init(&b, &ops);
-	many(&a, 18);
-	many(&b, 18);
+	list_servers(&a, 18);
+	list_servers(&b, 18);
 	for (prompt = 1; prompt <= 200; prompt++) {
-		v = choose(&a, 0, prompt, &view);
-		g_assert_true(choose(&b, 0, prompt, &view)->id == v->id);
+		v = choose_server(&a, 0, prompt, &view);
+		g_assert_true(choose_server(&b, 0, prompt, &view)->id == v->id);
 	}
 	/* Every server is the home of some prompt. */
 	RB_FOREACH (v, server_tree, &a.tree) {
 		for (prompt = 1; prompt <= 200; prompt++) {
-			if (choose(&a, 0, prompt, &view) == v) {
+			if (choose_server(&a, 0, prompt, &view) == v) {
 				used++;
 				break;
 			}
@@ -323,18 +324,18 @@
 	struct servers s;
 
 	servers_init(&s, &ops);
-	many(&s, 18);
-	home = choose(&s, 0, 7, &view);
+	list_servers(&s, 18);
+	home = choose_server(&s, 0, 7, &view);
 	home->own.unread = 30000;
-	g_assert_true(choose(&s, 0, 7, &view) == home);
+	g_assert_true(choose_server(&s, 0, 7, &view) == home);
 	home->own.unread = 200000;
-	second = choose(&s, 0, 7, &view);
+	second = choose_server(&s, 0, 7, &view);
 	g_assert_true(second != home);
 	server_memory_note(&s.memory, 0, second->id, 7);
 	second->own.unread = 20000;
-	g_assert_true(choose(&s, 1000, 7, &view) == second);
+	g_assert_true(choose_server(&s, 1000, 7, &view) == second);
 	home->own.unread = 0;
-	g_assert_true(choose(&s, 1000, 7, &view) == home);
+	g_assert_true(choose_server(&s, 1000, 7, &view) == home);
 	servers_finish(&s);
 }
 
@@ -357,7 +358,7 @@
 	quiet.light = true;
 	w.service = name_hash("svc");
 	servers_init(&s, &ops);
-	many(&s, 18);
+	list_servers(&s, 18);
 	for (i = 0; i < 400; i++) {
 		v = server_choose(&s, 0, &w, &quiet, (uint32_t)i);
 		v->own.running++;
@@ -375,7 +376,7 @@
 	g_assert_cmpuint(g_hash_table_size(a), ==, 3);
 	for (i = 1; i < 200; i++)
 		g_assert_false(
-		    g_hash_table_contains(a, choose(&s, 0, i, &heavy)));
+		    g_hash_table_contains(a, choose_server(&s, 0, i, &heavy)));
 	g_hash_table_unref(a);
 	servers_finish(&s);
 }
@@ -393,7 +394,7 @@
 	struct server *v;
 
 	servers_init(&s, &ops);
-	list(&s, 0, "a", false, 5);
+	list_server(&s, 0, "a", false, 5);
 	v = servers_find(&s, name_hash("a"));
 	/* It answers earlier and more urgent ones: the request still waits. */
 	server_response_received(v, 3900, 2, 900);
@@ -419,7 +420,7 @@
 	struct servers s;
 
 	servers_init(&s, &ops);
-	many(&s, 3);
+	list_servers(&s, 3);
 	while ((v = server_choose(&s, 0, &w, &view, 5)) != NULL) {
 		g_assert_cmpuint(w.navoid, <, 3);
 		w.avoid[w.navoid++] = v->id;
@@ -430,7 +431,7 @@
 	/* The only remaining server drains. */
 	w.navoid = 2;
 	g_assert_true(servers_have_alternative(&s, &w));
-	list(&s, 1, last, true, 0);
+	list_server(&s, 1, last, true, 0);
 	g_assert_false(servers_have_alternative(&s, &w));
 	g_assert_null(server_choose(&s, 1, &w, &view, 5));
 	servers_finish(&s);
@@ -477,7 +478,7 @@
 
 	w.service = name_hash("svc");
 	servers_init(&s, &ops);
-	many(&s, 18);
+	list_servers(&s, 18);
 	view.light = true;
 	for (i = 0; i < 30; i++) {
 		quiet = server_choose(&s, 0, &w, &view, i);
@@ -537,8 +538,8 @@
 	struct servers s;
 
 	servers_init(&s, &ops);
-	list(&s, 0, "a", false, 1);
-	list(&s, 0, "b", false, 1);
+	list_server(&s, 0, "a", false, 1);
+	list_server(&s, 0, "b", false, 1);
 	home = server_choose(&s, 0, &w, &view, 1);
 	server_memory_note(&s.all_memory, 0, home->id, w.prompt);
 	other = servers_find(
@@ -574,7 +575,7 @@
 	unsigned int i;
 
 	servers_init(&s, &ops);
-	many(&s, 12);
+	list_servers(&s, 12);
 	g_assert_true(servers_in_reach(&s, 0));
 	/* Only one server, however often, does not count. */
 	v = RB_MIN(server_tree, &s.tree);
--- a/tests/test-usage.c
+++ b/tests/test-usage.c
@@ -11,12 +11,12 @@
 
 #define NODES 12
 #define KEEPERS 3
-#define WINDOW 5000
-#define STEP 50
+#define WINDOW_MS 5000
+#define STEP_MS 50
 #define ORGANISATIONS 100
-#define WALL 1787838531391LL
+#define WALL_START_MS 1787838531391LL
 /* The part of a window's counts that a killed node may not have sent. */
-#define UNTOLD_PART (500.0 / WINDOW)
+#define UNSENT_PART (500.0 / WINDOW_MS)
 
 struct world;
 
@@ -25,11 +25,11 @@
 	struct world *world;
 	unsigned int index;
 	bool up;
-	msec wall_ahead; /* wall clock minus true time */
+	msec wall_offset; /* wall clock minus true time */
 	uint64_t incarnation;
 };
 
-struct parcel {
+struct message {
 	unsigned int from, to;
 	uint64_t incarnation;
 	sp_msg msg;
@@ -41,22 +41,23 @@
 	GRand *rand;
 	msec now;
 	unsigned int lost_percent;
-	GQueue mail;
+	GQueue messages;
 	unsigned int keepers[KEEPERS];
-	GHashTable *truth[64]; /* counts by organisation, of each window */
-	uint64_t first;
+	GHashTable
+	    *expected_counts[64]; /* counts by organisation, of each window */
+	uint64_t first_window;
 };
 
 static name_id
-id_of(unsigned int i)
+node_id(unsigned int i)
 {
 	return 1000 + i;
 }
 
 static msec
-world_true(const struct world *w)
+world_true_ms(const struct world *w)
 {
-	return WALL + w->now;
+	return WALL_START_MS + w->now;
 }
 
 static void
@@ -64,21 +65,21 @@
 {
 	struct node *n = u->arg;
 	struct world *w = n->world;
-	struct parcel *p;
+	struct message *p;
 
-	if (to == id_of(n->index)) {
+	if (to == node_id(n->index)) {
 		usage_receive(u, w->now, to, n->incarnation, msg);
 		return;
 	}
 	if (g_rand_int_range(w->rand, 0, 100) < (gint32)w->lost_percent)
 		return;
-	p = g_new0(struct parcel, 1);
-	*p = (struct parcel){ n->index, (unsigned int)(to - id_of(0)),
+	p = g_new0(struct message, 1);
+	*p = (struct message){ n->index, (unsigned int)(to - node_id(0)),
 		n->incarnation, *msg };
 	if (msg->kind == SP_USAGE_COUNTS)
 		memcpy(p->list, msg->sp_msg_u.usage_counts.list.list_val,
 		    msg->sp_msg_u.usage_counts.list.list_len * sizeof *p->list);
-	g_queue_push_tail(&w->mail, p);
+	g_queue_push_tail(&w->messages, p);
 }
 
 static const struct usage_ops ops = { op_send };
@@ -91,9 +92,9 @@
 	n->world = w;
 	n->index = i;
 	n->up = true;
-	n->incarnation = (uint64_t)(world_true(w) + n->wall_ahead) * 1000;
-	usage_init(&n->usage, &ops, WINDOW, 2 * WINDOW, w->now,
-	    world_true(w) + n->wall_ahead);
+	n->incarnation = (uint64_t)(world_true_ms(w) + n->wall_offset) * 1000;
+	usage_init(&n->usage, &ops, WINDOW_MS, 2 * WINDOW_MS, w->now,
+	    world_true_ms(w) + n->wall_offset);
 	n->usage.arg = n;
 }
 
@@ -112,9 +113,10 @@
 
 	*w = (struct world){ .rand = g_rand_new_with_seed(seed) };
 	w->now = 777;
-	w->first = (uint64_t)(world_true(w) / WINDOW);
-	for (i = 0; i < G_N_ELEMENTS(w->truth); i++)
-		w->truth[i] = g_hash_table_new(g_direct_hash, g_direct_equal);
+	w->first_window = (uint64_t)(world_true_ms(w) / WINDOW_MS);
+	for (i = 0; i < G_N_ELEMENTS(w->expected_counts); i++)
+		w->expected_counts[i] =
+		    g_hash_table_new(g_direct_hash, g_direct_equal);
 	for (i = 0; i < KEEPERS; i++)
 		w->keepers[i] = i;
 	for (i = 0; i < NODES; i++)
@@ -128,9 +130,9 @@
 
 	for (i = 0; i < NODES; i++)
 		node_kill(w, i);
-	for (i = 0; i < G_N_ELEMENTS(w->truth); i++)
-		g_hash_table_unref(w->truth[i]);
-	g_queue_clear_full(&w->mail, g_free);
+	for (i = 0; i < G_N_ELEMENTS(w->expected_counts); i++)
+		g_hash_table_unref(w->expected_counts[i]);
+	g_queue_clear_full(&w->messages, g_free);
 	g_rand_free(w->rand);
 }
 
@@ -138,11 +140,12 @@
 static void
 world_request(struct world *w)
 {
-	uint64_t window = (uint64_t)(world_true(w) / WINDOW) - w->first;
+	uint64_t window =
+	    (uint64_t)(world_true_ms(w) / WINDOW_MS) - w->first_window;
 	unsigned int i = (unsigned int)g_rand_int_range(w->rand, 0, NODES);
 	unsigned int o =
 	    (unsigned int)g_rand_int_range(w->rand, 1, ORGANISATIONS + 1);
-	GHashTable *t = w->truth[window];
+	GHashTable *t = w->expected_counts[window];
 
 	if (!w->nodes[i].up)
 		return;
@@ -156,15 +159,15 @@
 static void
 world_deliver(struct world *w)
 {
-	struct parcel *p;
+	struct message *p;
 	struct node *n;
 
-	while ((p = g_queue_pop_head(&w->mail)) != NULL) {
+	while ((p = g_queue_pop_head(&w->messages)) != NULL) {
 		n = &w->nodes[p->to];
 		if (p->msg.kind == SP_USAGE_COUNTS)
 			p->msg.sp_msg_u.usage_counts.list.list_val = p->list;
 		if (n->up)
-			usage_receive(&n->usage, w->now, id_of(p->from),
+			usage_receive(&n->usage, w->now, node_id(p->from),
 			    p->incarnation, &p->msg);
 		g_free(p);
 	}
@@ -176,18 +179,18 @@
 	name_id keepers[KEEPERS];
 	unsigned int i;
 
-	w->now += STEP;
+	w->now += STEP_MS;
 	world_deliver(w);
 	for (i = 0; i < requests; i++)
 		world_request(w);
 	for (i = 0; i < KEEPERS; i++)
-		keepers[i] = id_of(w->keepers[i]);
+		keepers[i] = node_id(w->keepers[i]);
 	for (i = 0; i < NODES; i++) {
 		if (!w->nodes[i].up)
 			continue;
 		usage_set_keepers(&w->nodes[i].usage, w->now, keepers, KEEPERS);
 		usage_tick(&w->nodes[i].usage, w->now,
-		    world_true(w) + w->nodes[i].wall_ahead);
+		    world_true_ms(w) + w->nodes[i].wall_offset);
 	}
 }
 
@@ -195,37 +198,38 @@
 static void
 world_run_to(struct world *w, msec into, unsigned int requests)
 {
-	msec at = world_true(w) / WINDOW * WINDOW + WINDOW + into;
+	msec at = world_true_ms(w) / WINDOW_MS * WINDOW_MS + WINDOW_MS + into;
 
-	while (world_true(w) < at)
+	while (world_true_ms(w) < at)
 		world_step(w, requests);
 }
 
 /* The error of the holder's counts, as a part of all requests. */
 static double
-world_off(struct world *w, unsigned int holder, uint64_t window)
+world_count_error(struct world *w, unsigned int holder, uint64_t window)
 {
-	GHashTable *sum = usage_sum(&w->nodes[holder].usage, w->first + window);
-	double off = 0, all = 0;
+	GHashTable *sum =
+	    usage_sum(&w->nodes[holder].usage, w->first_window + window);
+	double error = 0, all = 0;
 	unsigned int o;
 	name_id id;
 
 	for (o = 1; o <= ORGANISATIONS; o++) {
-		double truth = GPOINTER_TO_UINT(
-		    g_hash_table_lookup(w->truth[window], GUINT_TO_POINTER(o)));
-		double told;
+		double expected_counts = GPOINTER_TO_UINT(g_hash_table_lookup(
+		    w->expected_counts[window], GUINT_TO_POINTER(o)));
+		double reported;
 
 		id = o;
-		told = GPOINTER_TO_UINT(g_hash_table_lookup(sum, &id));
-		off += fabs(told - truth);
-		all += truth;
+		reported = GPOINTER_TO_UINT(g_hash_table_lookup(sum, &id));
+		error += fabs(reported - expected_counts);
+		all += expected_counts;
 	}
 	g_hash_table_unref(sum);
-	return off / all;
+	return error / all;
 }
 
 static bool
-world_whole(struct world *w, unsigned int holder, uint64_t *number)
+world_window_complete(struct world *w, unsigned int holder, uint64_t *number)
 {
 	struct usage_process p[NODES];
 	unsigned int i, n = 0;
@@ -234,7 +238,7 @@
 
 	for (i = 0; i < NODES; i++) {
 		if (w->nodes[i].up)
-			p[n++] = (struct usage_process){ id_of(i),
+			p[n++] = (struct usage_process){ node_id(i),
 				w->nodes[i].incarnation };
 	}
 	return usage_ended(&w->nodes[holder].usage, w->now, p, n, number, &ago,
@@ -252,12 +256,12 @@
 
 	world_init(&w, 1);
 	world_run_to(&w, 0, 10);
-	usage_decided(&w.nodes[0].usage, w.first);
+	usage_decided(&w.nodes[0].usage, w.first_window);
 	for (i = 1; i <= 5; i++) {
 		world_run_to(&w, 600, 10);
-		g_assert_true(world_whole(&w, 0, &number));
-		g_assert_cmpuint(number, ==, w.first + i);
-		g_assert_cmpfloat(world_off(&w, 0, i), ==, 0);
+		g_assert_true(world_window_complete(&w, 0, &number));
+		g_assert_cmpuint(number, ==, w.first_window + i);
+		g_assert_cmpfloat(world_count_error(&w, 0, i), ==, 0);
 		usage_decided(&w.nodes[0].usage, number);
 	}
 	world_finish(&w);
@@ -273,7 +277,7 @@
 	w.lost_percent = 15;
 	world_run_to(&w, 0, 10);
 	world_run_to(&w, 2000, 10);
-	g_assert_cmpfloat(world_off(&w, 0, 1), <=, 0.05);
+	g_assert_cmpfloat(world_count_error(&w, 0, 1), <=, 0.05);
 	world_finish(&w);
 }
 
@@ -290,7 +294,7 @@
 	for (i = 6; i < NODES; i++)
 		node_kill(&w, i);
 	world_run_to(&w, 1000, 20);
-	g_assert_cmpfloat(world_off(&w, 0, 1), <=, 0.05);
+	g_assert_cmpfloat(world_count_error(&w, 0, 1), <=, 0.05);
 	world_finish(&w);
 }
 
@@ -309,7 +313,7 @@
 	w.keepers[1] = 2;
 	w.keepers[2] = 3;
 	world_run_to(&w, 1500, 20);
-	g_assert_cmpfloat(world_off(&w, 1, 1), <=, 0.05);
+	g_assert_cmpfloat(world_count_error(&w, 1, 1), <=, 0.05);
 	world_finish(&w);
 }
 
@@ -328,7 +332,7 @@
 	world_run_to(&w, 300, 20);
 	w.keepers[0] = 7;
 	world_run_to(&w, -4000, 20);
-	g_assert_cmpfloat(world_off(&w, 7, 1), <=, 0.05);
+	g_assert_cmpfloat(world_count_error(&w, 7, 1), <=, 0.05);
 	world_finish(&w);
 }
 
@@ -348,7 +352,7 @@
 	world_init(&w, 6);
 	world_run_to(&w, 0, 20);
 	world_run_to(&w, -3000, 20);
-	sum = usage_sum(&w.nodes[0].usage, w.first + 1);
+	sum = usage_sum(&w.nodes[0].usage, w.first_window + 1);
 	for (i = 0; i < NODES; i++)
 		node_kill(&w, i);
 	world_run_to(&w, -2000, 0);
@@ -356,11 +360,12 @@
 		node_start(&w, i);
 	g_hash_table_iter_init(&it, sum);
 	while (g_hash_table_iter_next(&it, &o, &n))
-		usage_set_previous_count(&w.nodes[0].usage, w.first + 1,
-		    world_true(&w) - 1000, *(name_id *)o, GPOINTER_TO_UINT(n));
+		usage_set_previous_count(&w.nodes[0].usage, w.first_window + 1,
+		    world_true_ms(&w) - 1000, *(name_id *)o,
+		    GPOINTER_TO_UINT(n));
 	g_hash_table_unref(sum);
 	world_run_to(&w, 1500, 20);
-	g_assert_cmpfloat(world_off(&w, 0, 1), <=, UNTOLD_PART);
+	g_assert_cmpfloat(world_count_error(&w, 0, 1), <=, UNSENT_PART);
 	world_finish(&w);
 }
 
@@ -372,13 +377,13 @@
 
 	world_init(&w, 7);
 	world_run_to(&w, 0, 20);
-	w.nodes[0].wall_ahead = 2000;
-	w.nodes[3].wall_ahead = -2000;
+	w.nodes[0].wall_offset = 2000;
+	w.nodes[3].wall_offset = -2000;
 	world_run_to(&w, 0, 20);
-	w.nodes[0].wall_ahead = 0;
+	w.nodes[0].wall_offset = 0;
 	world_run_to(&w, 1500, 20);
-	g_assert_cmpfloat(world_off(&w, 0, 1), <=, 0.05);
-	g_assert_cmpfloat(world_off(&w, 0, 2), <=, 0.05);
+	g_assert_cmpfloat(world_count_error(&w, 0, 1), <=, 0.05);
+	g_assert_cmpfloat(world_count_error(&w, 0, 2), <=, 0.05);
 	g_assert_cmpuint(w.nodes[0].usage.counters.corrections, ==, 0);
 	world_finish(&w);
 }
@@ -393,17 +398,19 @@
 	world_run_to(&w, 0, 20);
 	node_kill(&w, 0);
 	node_kill(&w, 5);
-	w.nodes[0].wall_ahead = 1900;
-	w.nodes[5].wall_ahead = -1900;
+	w.nodes[0].wall_offset = 1900;
+	w.nodes[5].wall_offset = -1900;
 	node_start(&w, 0);
 	node_start(&w, 5);
 	world_run_to(&w, 0, 20);
 	world_run_to(&w, 1500, 20);
 	g_assert_cmpint(
-	    ABS(usage_true(&w.nodes[0].usage, w.now) - world_true(&w)), <, 200);
+	    ABS(usage_true(&w.nodes[0].usage, w.now) - world_true_ms(&w)), <,
+	    200);
 	g_assert_cmpint(
-	    ABS(usage_true(&w.nodes[5].usage, w.now) - world_true(&w)), <, 200);
-	g_assert_cmpfloat(world_off(&w, 0, 2), <=, 0.05);
+	    ABS(usage_true(&w.nodes[5].usage, w.now) - world_true_ms(&w)), <,
+	    200);
+	g_assert_cmpfloat(world_count_error(&w, 0, 2), <=, 0.05);
 	world_finish(&w);
 }
 
@@ -422,14 +429,14 @@
 	u = &w.nodes[0].usage;
 	m->list.list_len = 1;
 	m->list.list_val = &one;
-	m->wall_ms = (uint64_t)world_true(&w);
-	m->window = w.first + 1000;
-	usage_receive(u, w.now, id_of(4), 1, &msg);
-	m->window = w.first - 9;
-	usage_receive(u, w.now, id_of(4), 1, &msg);
-	m->window = w.first + 1;
+	m->wall_ms = (uint64_t)world_true_ms(&w);
+	m->window = w.first_window + 1000;
+	usage_receive(u, w.now, node_id(4), 1, &msg);
+	m->window = w.first_window - 9;
+	usage_receive(u, w.now, node_id(4), 1, &msg);
+	m->window = w.first_window + 1;
 	one.count = 4000000000U;
-	usage_receive(u, w.now, id_of(4), 1, &msg);
+	usage_receive(u, w.now, node_id(4), 1, &msg);
 	g_assert_cmpuint(u->counters.dropped, ==, 3);
 	world_finish(&w);
 }
