--- a/tests/test-directory.c
+++ b/tests/test-directory.c
@@ -10,7 +10,7 @@
 #define NODES 8
 #define CALLERS 4000
 
-struct town {
+struct directory_world {
 	struct members members;
 	GRand *rand;
 	msec now;
@@ -31,8 +31,8 @@
 
 /* A probe from node i with its load and with updates about it. */
 static void
-town_hear(
-    struct town *t, unsigned int i, sp_member_state state, unsigned int load)
+world_receive_probe(struct directory_world *t, unsigned int i,
+    sp_member_state state, unsigned int load)
 {
 	sp_msg msg = { .kind = SP_PROBE };
 	sp_news news = { .name = names[i],
@@ -53,7 +53,7 @@
 
 /* Node 0 is the local node. Domains are hall-0 to hall-2. */
 static void
-town_init(struct town *t, uint32_t seed)
+world_init(struct directory_world *t, uint32_t seed)
 {
 	struct member_config cfg = { .incarnation = 1,
 		.address = 1,
@@ -74,22 +74,22 @@
 	cfg.domain = domains[0];
 	members_init(&t->members, &ops, &cfg, t->now);
 	for (i = 1; i < NODES; i++) {
-		town_hear(t, i, SP_ALIVE, 0);
+		world_receive_probe(t, i, SP_ALIVE, 0);
 		/* The load counts once its sender is known as a member. */
 		t->now++;
-		town_hear(t, i, SP_ALIVE, 0);
+		world_receive_probe(t, i, SP_ALIVE, 0);
 	}
 }
 
 static void
-town_finish(struct town *t)
+world_finish(struct directory_world *t)
 {
 	members_finish(&t->members);
 	g_rand_free(t->rand);
 }
 
 static unsigned int
-town_index(const struct member *m)
+node_index(const struct member *m)
 {
 	return m->address - 1;
 }
@@ -103,20 +103,20 @@
 test_only_working(void)
 {
 	struct directory_answer a;
-	struct town t;
+	struct directory_world t;
 	unsigned int i, j, n;
 
-	town_init(&t, 1);
-	town_hear(&t, 1, SP_LEAVING, 0);
-	town_hear(&t, 2, SP_DEAD, 0);
-	town_hear(&t, 3, SP_SUSPECT, 0);
+	world_init(&t, 1);
+	world_receive_probe(&t, 1, SP_LEAVING, 0);
+	world_receive_probe(&t, 2, SP_DEAD, 0);
+	world_receive_probe(&t, 3, SP_SUSPECT, 0);
 	members_leave(&t.members, t.now);
 	for (i = 0; i < 2000; i++) {
 		directory_choose(&t.members, i % 2 ? "hall-1" : "", t.rand, &a);
 		g_assert_nonnull(a.best);
-		g_assert_cmpuint(town_index(a.best), >=, 4);
+		g_assert_cmpuint(node_index(a.best), >=, 4);
 		for (j = 0; j < DIRECTORY_ALTERNATES; j++) {
-			n = town_index(a.alternates[j]);
+			n = node_index(a.alternates[j]);
 			g_assert_cmpuint(n, >=, 4);
 			g_assert_true(a.alternates[j] != a.best);
 		}
@@ -124,7 +124,7 @@
 		g_assert_cmpint(a.lifetime, >=, 5 * MSEC_SECOND);
 		g_assert_cmpint(a.lifetime, <=, 20 * MSEC_SECOND);
 	}
-	town_finish(&t);
+	world_finish(&t);
 }
 
 /*
@@ -135,23 +135,23 @@
 test_not_full(void)
 {
 	struct directory_answer a;
-	struct town t;
+	struct directory_world t;
 	unsigned int i;
 
-	town_init(&t, 1);
+	world_init(&t, 1);
 	t.now++;
 	for (i = 1; i < NODES - 1; i++)
-		town_hear(&t, i, SP_ALIVE, 1000);
+		world_receive_probe(&t, i, SP_ALIVE, 1000);
 	members_set_self(&t.members, 0, 1000);
 	for (i = 0; i < 500; i++) {
 		directory_choose(&t.members, i % 2 ? "hall-1" : "", t.rand, &a);
-		g_assert_cmpuint(town_index(a.best), ==, NODES - 1);
+		g_assert_cmpuint(node_index(a.best), ==, NODES - 1);
 	}
 	/* A full VM is better than none. */
-	town_hear(&t, NODES - 1, SP_LEAVING, 0);
+	world_receive_probe(&t, NODES - 1, SP_LEAVING, 0);
 	directory_choose(&t.members, "", t.rand, &a);
 	g_assert_nonnull(a.best);
-	town_finish(&t);
+	world_finish(&t);
 }
 
 /*
@@ -162,23 +162,23 @@
 test_nobody(void)
 {
 	struct directory_answer a;
-	struct town t;
+	struct directory_world t;
 	unsigned int i;
 
-	town_init(&t, 1);
+	world_init(&t, 1);
 	members_leave(&t.members, t.now);
 	for (i = 1; i < NODES; i++)
-		town_hear(&t, i, i < 3 ? SP_SUSPECT : SP_DEAD, 0);
+		world_receive_probe(&t, i, i < 3 ? SP_SUSPECT : SP_DEAD, 0);
 	directory_choose(&t.members, "", t.rand, &a);
 	g_assert_nonnull(a.best);
 	g_assert_nonnull(a.alternates[0]);
 	g_assert_null(a.alternates[1]);
 	for (i = 1; i < NODES; i++)
-		town_hear(&t, i, SP_DEAD, 0);
+		world_receive_probe(&t, i, SP_DEAD, 0);
 	directory_choose(&t.members, "", t.rand, &a);
 	g_assert_null(a.best);
 	g_assert_null(a.alternates[0]);
-	town_finish(&t);
+	world_finish(&t);
 }
 
 /*
@@ -191,15 +191,15 @@
 {
 	unsigned int i, j, round, local, elsewhere;
 	struct directory_answer a;
-	struct town t;
+	struct directory_world t;
 
 	for (round = 0; round < 2; round++) {
-		town_init(&t, 3);
+		world_init(&t, 3);
 		local = elsewhere = 0;
 		for (i = 0; i < 1000; i++) {
 			t.now++;
 			for (j = 1; j < NODES; j++)
-				town_hear(&t, j, SP_ALIVE,
+				world_receive_probe(&t, j, SP_ALIVE,
 				    j % 3 != 2	 ? 50
 				    : round == 0 ? 150
 						 : 900);
@@ -216,7 +216,7 @@
 			/* One in 16 finds both random ones in its hall. */
 			g_assert_cmpuint(local, <, 100);
 		g_assert_cmpuint(elsewhere, >, 700);
-		town_finish(&t);
+		world_finish(&t);
 	}
 }
 
@@ -227,13 +227,13 @@
 };
 
 static void
-spread_move(struct spread *s, struct town *t, unsigned int caller)
+spread_move(struct spread *s, struct directory_world *t, unsigned int caller)
 {
 	struct directory_answer a;
 
 	directory_choose(&t->members, "", t->rand, &a);
 	s->callers[s->on[caller]] -= s->until[caller] != 0;
-	s->on[caller] = town_index(a.best);
+	s->on[caller] = node_index(a.best);
 	s->callers[s->on[caller]]++;
 	s->until[caller] = t->now + a.lifetime;
 }
@@ -249,9 +249,9 @@
 {
 	struct spread *s = g_new0(struct spread, 1);
 	unsigned int i, step, busiest, worst = 0, reported[NODES] = { 0 };
-	struct town t;
+	struct directory_world t;
 
-	town_init(&t, 5);
+	world_init(&t, 5);
 	for (step = 0; step < 600; step++) {
 		t.now += 100;
 		for (i = 0; i < CALLERS; i++) {
@@ -269,13 +269,14 @@
 			if (i == 0)
 				members_set_self(&t.members, 0, reported[i]);
 			else
-				town_hear(&t, i, SP_ALIVE, reported[i]);
+				world_receive_probe(
+				    &t, i, SP_ALIVE, reported[i]);
 			reported[i] = s->callers[i] * 500 * NODES / CALLERS;
 		}
 	}
 	g_test_message("busiest VM at worst %u%% of the mean", worst);
 	g_assert_cmpuint(worst, <, 150);
-	town_finish(&t);
+	world_finish(&t);
 	g_free(s);
 }
 
--- a/tests/test-document.c
+++ b/tests/test-document.c
@@ -322,7 +322,8 @@
 }
 
 static void
-quiet(const char *part, GLogLevelFlags level, const char *text, gpointer arg)
+log_discard(
+    const char *part, GLogLevelFlags level, const char *text, gpointer arg)
 {
 }
 
@@ -334,8 +335,8 @@
 	unsigned int i, j;
 	gsize len;
 
-	g_log_set_handler("yaml", G_LOG_LEVEL_DEBUG, quiet, NULL);
-	g_log_set_handler("document", G_LOG_LEVEL_DEBUG, quiet, NULL);
+	g_log_set_handler("yaml", G_LOG_LEVEL_DEBUG, log_discard, NULL);
+	g_log_set_handler("document", G_LOG_LEVEL_DEBUG, log_discard, NULL);
 	g_assert_true(g_file_get_contents(
 	    "examples/kellaway-briefing.yaml", &base, &len, NULL));
 	for (i = 0; i < 5000; i++) {
--- a/tests/test-duration.c
+++ b/tests/test-duration.c
@@ -5,7 +5,7 @@
 
 #include "duration.h"
 
-#define MOST 12000
+#define TIMEOUT 12000
 
 /* Without samples, the whole timeout of the caller may be needed. */
 static void
@@ -14,13 +14,13 @@
 	struct duration d = { 0 };
 	unsigned int i;
 
-	g_assert_cmpint(duration_upper_estimate(&d, MOST), ==, MOST);
+	g_assert_cmpint(duration_upper_estimate(&d, TIMEOUT), ==, TIMEOUT);
 	for (i = 0; i < 7; i++)
 		duration_add(&d, 10);
-	g_assert_cmpint(duration_upper_estimate(&d, MOST), ==, MOST);
+	g_assert_cmpint(duration_upper_estimate(&d, TIMEOUT), ==, TIMEOUT);
 	g_assert_cmpint(duration_mean(&d, 0), ==, 0);
 	duration_add(&d, 10);
-	g_assert_cmpint(duration_upper_estimate(&d, MOST), <, MOST);
+	g_assert_cmpint(duration_upper_estimate(&d, TIMEOUT), <, TIMEOUT);
 	g_assert_cmpint(duration_mean(&d, 0), ==, 10);
 }
 
@@ -40,7 +40,7 @@
 	for (i = 0; i < 20000; i++) {
 		u = g_rand_double_range(r, 0.0001, 1);
 		took = (msec)(400 * (1 / (0.25 + u)) + 3000 * u * u * u * u);
-		if (i >= 100 && took > duration_upper_estimate(&d, MOST))
+		if (i >= 100 && took > duration_upper_estimate(&d, TIMEOUT))
 			longer++;
 		duration_add(&d, took);
 	}
@@ -68,7 +68,8 @@
 		for (i = 0; i < 16; i++) {
 			took = g_rand_int_range(r, 4, 41) *
 			       g_rand_int_range(r, 5, 61);
-			if (i >= 8 && took > duration_upper_estimate(&d, MOST))
+			if (i >= 8 &&
+			    took > duration_upper_estimate(&d, TIMEOUT))
 				longer++;
 			duration_add(&d, took);
 		}
@@ -88,10 +89,10 @@
 
 	for (i = 0; i < 200; i++)
 		duration_add(&d, 1000 + i % 7 * 100);
-	g_assert_cmpint(duration_upper_estimate(&d, MOST), <, 3000);
+	g_assert_cmpint(duration_upper_estimate(&d, TIMEOUT), <, 3000);
 	for (i = 0; i < 40; i++)
 		duration_add(&d, 3000 + i % 7 * 300);
-	g_assert_cmpint(duration_upper_estimate(&d, MOST), >, 4800);
+	g_assert_cmpint(duration_upper_estimate(&d, TIMEOUT), >, 4800);
 }
 
 /*
@@ -108,10 +109,10 @@
 		duration_add(&d, 600);
 		duration_add_lower_bound(&d, 100);
 	}
-	g_assert_cmpint(duration_upper_estimate(&d, MOST), <, 700);
+	g_assert_cmpint(duration_upper_estimate(&d, TIMEOUT), <, 700);
 	for (i = 0; i < 20; i++)
 		duration_add_lower_bound(&d, 1500);
-	g_assert_cmpint(duration_upper_estimate(&d, MOST), >, 2500);
+	g_assert_cmpint(duration_upper_estimate(&d, TIMEOUT), >, 2500);
 }
 
 /* Never longer than the caller's timeout. */
@@ -123,7 +124,7 @@
 
 	for (i = 0; i < 50; i++)
 		duration_add(&d, 1000000);
-	g_assert_cmpint(duration_upper_estimate(&d, MOST), ==, MOST);
+	g_assert_cmpint(duration_upper_estimate(&d, TIMEOUT), ==, TIMEOUT);
 	g_assert_cmpint(duration_upper_estimate(&d, 0), ==, 0);
 }
 
--- a/tests/test-duty.c
+++ b/tests/test-duty.c
@@ -18,7 +18,7 @@
 #define LEASE 3000
 #define STEP 20
 /* Longest time without a holder after a kill: lease, margin, some ticks. */
-#define TAKEOVER_MOST (LEASE + 300 + 3 * 300 + 400)
+#define TAKEOVER_MAX (LEASE + 300 + 3 * 300 + 400)
 
 struct world;
 
@@ -26,9 +26,9 @@
 	struct duty duty;
 	struct world *world;
 	unsigned int index;
-	bool up, takes_work, cut, deaf;
-	msec asleep_until;
-	msec born;
+	bool up, takes_work, cut_from_log, cut_from_nodes;
+	msec paused_until;
+	msec started_at;
 	struct era era;
 };
 
@@ -41,17 +41,17 @@
 	EVENT_APPEND,
 	EVENT_ANSWER,
 	EVENT_MESSAGE,
-	EVENT_HEAR /* another answer of the log's store arrives */
+	EVENT_STORE_ANSWER /* another answer of the log's store arrives */
 };
 
 struct event {
 	msec at;
 	enum event_kind kind;
 	unsigned int node;
-	msec born; /* start of the process that the event is for */
-	uint64_t place, offset, end, era;
+	msec started_at; /* start of the process that the event is for */
+	uint64_t expected_offset, offset, end, era;
 	bool claim, lost;
-	enum duty_result how;
+	enum duty_result result;
 	bool is_look, ok;
 	name_id from;
 	sp_msg msg;
@@ -69,8 +69,8 @@
 	bool down, rewinds;
 	/* The last actions, by any node. */
 	uint64_t token_acted;
-	unsigned int actor, before; /* node index plus 1 */
-	msec acted_at, before_at;
+	unsigned int last_actor, previous_actor; /* node index plus 1 */
+	msec acted_at, previous_acted_at;
 	unsigned int acts, changes;
 	msec longest_without, without_since;
 };
@@ -109,31 +109,31 @@
 	struct world *w = n->world;
 	struct event e = { .kind = EVENT_APPEND,
 		.node = n->index,
-		.born = n->born,
-		.place = at,
+		.started_at = n->started_at,
+		.expected_offset = at,
 		.claim = claim };
 	gint32 r = g_rand_int_range(w->rand, 0, 1000);
 
 	e.at = w->now + g_rand_int_range(w->rand, 2, 30);
-	if (n->cut || w->down) {
+	if (n->cut_from_log || w->down) {
 		e.kind = EVENT_ANSWER;
 		e.at = w->now + LEASE / 3;
-		e.how = DUTY_UNKNOWN;
+		e.result = DUTY_UNKNOWN;
 	} else if (r < (gint32)w->late_permille) {
 		e.lost = true;
 		e.at = w->now + g_rand_int_range(w->rand, 1000, 6000);
 		event_add(w, &(struct event){ .kind = EVENT_ANSWER,
 				 .node = n->index,
-				 .born = n->born,
+				 .started_at = n->started_at,
 				 .at = w->now + LEASE / 3,
-				 .how = DUTY_UNKNOWN });
+				 .result = DUTY_UNKNOWN });
 	} else if (r < (gint32)(w->late_permille + w->lost_permille)) {
 		e.lost = true;
 		event_add(w, &(struct event){ .kind = EVENT_ANSWER,
 				 .node = n->index,
-				 .born = n->born,
+				 .started_at = n->started_at,
 				 .at = w->now + LEASE / 3,
-				 .how = DUTY_UNKNOWN });
+				 .result = DUTY_UNKNOWN });
 	}
 	event_add(w, &e);
 }
@@ -146,9 +146,9 @@
 
 	event_add(w, &(struct event){ .kind = EVENT_ANSWER,
 			 .node = n->index,
-			 .born = n->born,
+			 .started_at = n->started_at,
 			 .is_look = true,
-			 .ok = !n->cut && !w->down,
+			 .ok = !n->cut_from_log && !w->down,
 			 .at = w->now + 10,
 			 .era = w->era,
 			 .offset = log_claim(w),
@@ -166,7 +166,7 @@
 		.at = w->now + g_rand_int_range(w->rand, 1, 5) };
 	unsigned int i;
 
-	if (n->deaf || g_rand_int_range(w->rand, 0, 100) < 3)
+	if (n->cut_from_nodes || g_rand_int_range(w->rand, 0, 100) < 3)
 		return;
 	memcpy(e.standbys, msg->sp_msg_u.duty_beat.standbys.standbys_val,
 	    msg->sp_msg_u.duty_beat.standbys.standbys_len * sizeof *e.standbys);
@@ -174,7 +174,7 @@
 		if (id_of(i) != to || !w->nodes[i].up)
 			continue;
 		e.node = i;
-		e.born = w->nodes[i].born;
+		e.started_at = w->nodes[i].started_at;
 		event_add(w, &e);
 	}
 }
@@ -189,7 +189,7 @@
 
 /* False if the answer belongs to an era that is over. */
 static bool
-node_hear(struct node *n, uint64_t era)
+node_process_era(struct node *n, uint64_t era)
 {
 	bool first = !n->era.has_answer;
 
@@ -215,13 +215,13 @@
 	n->world = w;
 	n->index = i;
 	n->up = n->takes_work = true;
-	n->cut = n->deaf = false;
-	n->asleep_until = 0;
-	n->born = w->now;
+	n->cut_from_log = n->cut_from_nodes = false;
+	n->paused_until = 0;
+	n->started_at = w->now;
 	duty_init(&n->duty, &ops, id_of(i), LEASE, w->now);
 	n->duty.arg = n;
 	era_init(&n->era);
-	node_hear(n, w->era);
+	node_process_era(n, w->era);
 }
 
 static void
@@ -265,7 +265,7 @@
 static void
 log_rewind(struct world *w, msec age)
 {
-	struct event e = { .kind = EVENT_HEAR };
+	struct event e = { .kind = EVENT_STORE_ANSWER };
 	unsigned int i;
 
 	while (
@@ -275,10 +275,10 @@
 		g_array_set_size(w->records, w->records->len - 1);
 	e.era = ++w->era;
 	for (i = 0; i < NODES; i++) {
-		if (!w->nodes[i].up || w->nodes[i].cut)
+		if (!w->nodes[i].up || w->nodes[i].cut_from_log)
 			continue;
 		e.node = i;
-		e.born = w->nodes[i].born;
+		e.started_at = w->nodes[i].started_at;
 		e.at = w->now + g_rand_int_range(w->rand, 5, 1500);
 		event_add(w, &e);
 	}
@@ -292,14 +292,14 @@
 	if (e->kind == EVENT_APPEND) {
 		struct event answer = { .kind = EVENT_ANSWER,
 			.node = e->node,
-			.born = e->born,
+			.started_at = e->started_at,
 			.at = w->now + 2,
 			.era = w->era,
-			.how = DUTY_REFUSED };
+			.result = DUTY_REFUSED };
 		struct record r = { w->now, e->claim };
 
-		if (w->records->len == e->place) {
-			answer.how = DUTY_ACCEPTED;
+		if (w->records->len == e->expected_offset) {
+			answer.result = DUTY_ACCEPTED;
 			answer.offset = w->records->len;
 			g_array_append_val(w->records, r);
 		}
@@ -308,21 +308,21 @@
 			event_add(w, &answer);
 		return;
 	}
-	if (!n->up || n->born != e->born)
+	if (!n->up || n->started_at != e->started_at)
 		return;
 	if (e->kind == EVENT_MESSAGE) {
 		e->msg.sp_msg_u.duty_beat.standbys.standbys_val = e->standbys;
-		if (!n->deaf)
+		if (!n->cut_from_nodes)
 			duty_receive(&n->duty, w->now, e->from, &e->msg);
-	} else if (e->kind == EVENT_HEAR) {
-		node_hear(n, e->era);
+	} else if (e->kind == EVENT_STORE_ANSWER) {
+		node_process_era(n, e->era);
 	} else if (e->is_look) {
-		e->ok = e->ok && node_hear(n, e->era);
+		e->ok = e->ok && node_process_era(n, e->era);
 		duty_claim_found(&n->duty, w->now, e->ok, e->offset, e->end);
 	} else {
-		if (e->how != DUTY_UNKNOWN && !node_hear(n, e->era))
-			e->how = DUTY_UNKNOWN;
-		duty_appended(&n->duty, w->now, e->how, e->offset, e->end);
+		if (e->result != DUTY_UNKNOWN && !node_process_era(n, e->era))
+			e->result = DUTY_UNKNOWN;
+		duty_appended(&n->duty, w->now, e->result, e->offset, e->end);
 	}
 }
 
@@ -335,15 +335,16 @@
 {
 	g_assert_cmpuint(token, >=, w->token_acted);
 	if (token == w->token_acted)
-		g_assert_cmpuint(w->actor, ==, n->index + 1);
-	if (w->actor != n->index + 1) {
-		if (w->before == n->index + 1)
-			g_assert_cmpint(w->now - w->before_at, >=, LEASE);
-		w->before = w->actor;
-		w->before_at = w->acted_at;
+		g_assert_cmpuint(w->last_actor, ==, n->index + 1);
+	if (w->last_actor != n->index + 1) {
+		if (w->previous_actor == n->index + 1)
+			g_assert_cmpint(
+			    w->now - w->previous_acted_at, >=, LEASE);
+		w->previous_actor = w->last_actor;
+		w->previous_acted_at = w->acted_at;
 	}
 	w->token_acted = token;
-	w->actor = n->index + 1;
+	w->last_actor = n->index + 1;
 	w->acted_at = w->now;
 	w->acts++;
 }
@@ -363,7 +364,7 @@
 		next = l->next;
 		if (e->at > w->now ||
 		    (e->kind != EVENT_APPEND &&
-			w->nodes[e->node].asleep_until > w->now))
+			w->nodes[e->node].paused_until > w->now))
 			continue;
 		w->events = g_list_delete_link(w->events, l);
 		event_do(w, e);
@@ -375,12 +376,12 @@
 		if (w->nodes[i].up)
 			all[n++] = (struct duty_node){ id_of(i), i % 3,
 				w->nodes[i].takes_work,
-				w->now - w->nodes[i].born };
+				w->now - w->nodes[i].started_at };
 	}
 	for (i = 0; i < NODES; i++) {
 		struct node *v = &w->nodes[i];
 
-		if (!v->up || v->asleep_until > w->now)
+		if (!v->up || v->paused_until > w->now)
 			continue;
 		duty_set_nodes(&v->duty, all, n);
 		duty_tick(&v->duty, w->now);
@@ -455,7 +456,7 @@
 		world_settle(&w);
 		node_kill(&w, holder_of(&w));
 		world_run(&w, 10000);
-		g_assert_cmpint(w.longest_without, <=, TAKEOVER_MOST);
+		g_assert_cmpint(w.longest_without, <=, TAKEOVER_MAX);
 		world_finish(&w);
 	}
 }
@@ -558,7 +559,7 @@
 	world_init(&w, 4);
 	world_settle(&w);
 	h = holder_of(&w);
-	w.nodes[h].asleep_until = w.now + 2 * LEASE + 1000;
+	w.nodes[h].paused_until = w.now + 2 * LEASE + 1000;
 	world_run(&w, 2 * LEASE);
 	g_assert_cmpuint(holder_of(&w), !=, h);
 	world_run(&w, 20000);
@@ -578,10 +579,10 @@
 	world_init(&w, 5);
 	world_settle(&w);
 	h = holder_of(&w);
-	w.nodes[h].cut = true;
+	w.nodes[h].cut_from_log = true;
 	world_run(&w, 3 * LEASE);
 	g_assert_cmpuint(holder_of(&w), !=, h);
-	g_assert_cmpint(w.longest_without, <=, TAKEOVER_MOST);
+	g_assert_cmpint(w.longest_without, <=, TAKEOVER_MAX);
 	world_finish(&w);
 }
 
@@ -727,7 +728,7 @@
 		/*
 		 * One lease for the old holder to expire, one from the new end.
 		 */
-		g_assert_cmpint(w.longest_without, <=, 2 * TAKEOVER_MOST);
+		g_assert_cmpint(w.longest_without, <=, 2 * TAKEOVER_MAX);
 		world_finish(&w);
 	}
 }
@@ -753,10 +754,10 @@
 		 * The new node receives no messages, and neither does the
 		 * holder.
 		 */
-		w.nodes[h].cut = true;
+		w.nodes[h].cut_from_log = true;
 		log_rewind(&w, 100000);
 		node_start(&w, i);
-		w.nodes[i].deaf = true;
+		w.nodes[i].cut_from_nodes = true;
 		world_run(&w, 20000);
 		world_finish(&w);
 	}
@@ -813,13 +814,13 @@
 			node_start(w, i);
 		break;
 	case 3:
-		n->asleep_until = w->now + g_rand_int_range(w->rand, 500, 9000);
+		n->paused_until = w->now + g_rand_int_range(w->rand, 500, 9000);
 		break;
 	case 4:
-		n->cut = !n->cut;
+		n->cut_from_log = !n->cut_from_log;
 		break;
 	case 5:
-		n->deaf = !n->deaf;
+		n->cut_from_nodes = !n->cut_from_nodes;
 		break;
 	case 6:
 		w->late_permille =
@@ -831,7 +832,7 @@
 		w->down = !w->down;
 		break;
 	default:
-		if (n->up && n->asleep_until <= w->now) {
+		if (n->up && n->paused_until <= w->now) {
 			duty_leave(&n->duty, w->now);
 			node_kill(w, i);
 		}
@@ -855,8 +856,9 @@
 		w.down = false;
 		w.late_permille = w.lost_permille = 0;
 		for (i = 0; i < NODES; i++) {
-			w.nodes[i].cut = w.nodes[i].deaf = false;
-			w.nodes[i].asleep_until = 0;
+			w.nodes[i].cut_from_log = w.nodes[i].cut_from_nodes =
+			    false;
+			w.nodes[i].paused_until = 0;
 			if (!w.nodes[i].up)
 				node_start(&w, i);
 		}
--- a/tests/test-entry-log.c
+++ b/tests/test-entry-log.c
@@ -136,7 +136,7 @@
 
 /* Every event and key has a description. */
 static void
-test_words(void)
+test_descriptions(void)
 {
 	unsigned int i;
 
@@ -157,6 +157,6 @@
 	g_test_add_func("/entry-log/line", test_line);
 	g_test_add_func("/entry-log/volume", test_volume);
 	g_test_add_func("/entry-log/no-reader", test_no_reader);
-	g_test_add_func("/entry-log/words", test_words);
+	g_test_add_func("/entry-log/words", test_descriptions);
 	return g_test_run();
 }
--- a/tests/test-explain.c
+++ b/tests/test-explain.c
@@ -53,7 +53,7 @@
 
 /* Each line that the command prints is on the page. */
 static void
-check_story(const char *id, const char *name, const char *cause)
+check_example(const char *id, const char *name, const char *cause)
 {
 	g_autofree char *file =
 	    g_strdup_printf("tests/data/explain-%s.jsonl", name);
@@ -73,14 +73,14 @@
 }
 
 static void
-test_stories(void)
+test_examples(void)
 {
-	check_story("34536908729632f0", "refused", "reason full");
-	check_story("fd1c5e2de35eb7a6", "broken", "reason broken");
-	check_story("48715e12a1e56455", "not-fresh", "platform-lost");
-	check_story("8738353752e5f463", "leaving", "no-time-left");
-	check_story("5b0e77c1d2f94a36", "era", "state changed");
-	check_story("s7-000358", "poison", "condemned");
+	check_example("34536908729632f0", "refused", "reason full");
+	check_example("fd1c5e2de35eb7a6", "broken", "reason broken");
+	check_example("48715e12a1e56455", "not-fresh", "platform-lost");
+	check_example("8738353752e5f463", "leaving", "no-time-left");
+	check_example("5b0e77c1d2f94a36", "era", "state changed");
+	check_example("s7-000358", "poison", "condemned");
 }
 
 /* An unknown id, a truncated file, and a missing file. */
@@ -132,7 +132,7 @@
 main(int argc, char **argv)
 {
 	g_test_init(&argc, &argv, NULL);
-	g_test_add_func("/explain/stories", test_stories);
+	g_test_add_func("/explain/stories", test_examples);
 	g_test_add_func("/explain/bad-input", test_bad_input);
 	g_test_add_func("/explain/tables", test_tables);
 	return g_test_run();
--- a/tests/test-http-message.c
+++ b/tests/test-http-message.c
@@ -11,14 +11,14 @@
 #define HEAD_MAX 1024
 #define BODY_MAX 4096
 
-struct got {
+struct body_collector {
 	GString *body;
 };
 
 static void
-take_body(struct http_reader *r, const char *bytes, size_t n)
+collect_body(struct http_reader *r, const char *bytes, size_t n)
 {
-	struct got *g = r->arg;
+	struct body_collector *g = r->arg;
 
 	g_string_append_len(g->body, bytes, (gssize)n);
 }
@@ -28,7 +28,7 @@
  * bytes consumed.
  */
 static size_t
-feed(struct http_reader *r, const char *bytes, size_t n, size_t piece)
+feed_in_pieces(struct http_reader *r, const char *bytes, size_t n, size_t piece)
 {
 	size_t at = 0, step, took;
 
@@ -46,13 +46,14 @@
 check_refused(const char *text, size_t n, enum http_error error)
 {
 	static const size_t pieces[] = { 1, 3, 4096 };
-	struct got g = { g_string_new(NULL) };
+	struct body_collector g = { g_string_new(NULL) };
 	struct http_reader r;
 	size_t i;
 
 	for (i = 0; i < G_N_ELEMENTS(pieces); i++) {
-		http_reader_init(&r, true, HEAD_MAX, BODY_MAX, take_body, &g);
-		feed(&r, text, n, pieces[i]);
+		http_reader_init(
+		    &r, true, HEAD_MAX, BODY_MAX, collect_body, &g);
+		feed_in_pieces(&r, text, n, pieces[i]);
 		g_assert_cmpint(r.stage, ==, HTTP_STAGE_FAILED);
 		g_assert_cmpint(r.error, ==, error);
 		http_reader_finish(&r);
@@ -134,18 +135,20 @@
 	size_t piece, at;
 
 	for (piece = 1; piece < sizeof text; piece += 7) {
-		struct got g = { g_string_new(NULL) };
+		struct body_collector g = { g_string_new(NULL) };
 		struct http_reader r;
 
-		http_reader_init(&r, true, HEAD_MAX, BODY_MAX, take_body, &g);
-		at = feed(&r, text, sizeof text - 1, piece);
+		http_reader_init(
+		    &r, true, HEAD_MAX, BODY_MAX, collect_body, &g);
+		at = feed_in_pieces(&r, text, sizeof text - 1, piece);
 		g_assert_cmpint(r.stage, ==, HTTP_STAGE_COMPLETE);
 		g_assert_cmpstr(r.head->method, ==, "POST");
 		g_assert_cmpstr(r.head->target, ==, "/a?b");
 		g_assert_cmpstr(http_head_get(r.head, "x"), ==, "y");
 		g_assert_cmpstr(g.body->str, ==, "abc");
 		http_reader_reset(&r);
-		at += feed(&r, text + at, sizeof text - 1 - at, piece);
+		at +=
+		    feed_in_pieces(&r, text + at, sizeof text - 1 - at, piece);
 		g_assert_cmpint(r.stage, ==, HTTP_STAGE_COMPLETE);
 		g_assert_cmpstr(g.body->str, ==, "abcde");
 		g_assert_cmpstr(text + at, ==, "GET");
@@ -157,12 +160,12 @@
 static enum http_stage
 answer_stage(const char *text, bool close, char **body)
 {
-	struct got g = { g_string_new(NULL) };
+	struct body_collector g = { g_string_new(NULL) };
 	enum http_stage stage;
 	struct http_reader r;
 
-	http_reader_init(&r, false, HEAD_MAX, BODY_MAX, take_body, &g);
-	feed(&r, text, strlen(text), 5);
+	http_reader_init(&r, false, HEAD_MAX, BODY_MAX, collect_body, &g);
+	feed_in_pieces(&r, text, strlen(text), 5);
 	if (close)
 		http_reader_close(&r);
 	stage = r.stage;
@@ -219,11 +222,11 @@
 	static const char text[] = "GET / HTTP/1.1\r\nHost: a\r\n"
 				   "Connection: close, X-Mine\r\n"
 				   "X-Mine: 1\r\nX-Other: 2\r\n\r\n";
-	struct got g = { g_string_new(NULL) };
+	struct body_collector g = { g_string_new(NULL) };
 	struct http_reader r;
 
-	http_reader_init(&r, true, HEAD_MAX, BODY_MAX, take_body, &g);
-	feed(&r, text, sizeof text - 1, 100);
+	http_reader_init(&r, true, HEAD_MAX, BODY_MAX, collect_body, &g);
+	feed_in_pieces(&r, text, sizeof text - 1, 100);
 	g_assert_cmpint(r.stage, ==, HTTP_STAGE_COMPLETE);
 	g_assert_true(http_field_is_hop_by_hop(r.head, "x-mine"));
 	g_assert_true(http_field_is_hop_by_hop(r.head, "Transfer-Encoding"));
--- a/tests/test-lease.c
+++ b/tests/test-lease.c
@@ -17,11 +17,11 @@
 struct node {
 	struct lease_fold fold;
 	struct lease_client user;
-	double speed;	   /* relative to true time */
-	msec ahead;	   /* offset to true time */
-	msec paused_until; /* true time */
-	char *flying;	   /* record, or NULL */
-	msec lands_at;
+	double clock_rate;    /* relative to true time */
+	msec clock_offset;    /* offset to true time */
+	msec paused_until;    /* true time */
+	char *pending_append; /* record, or NULL */
+	msec pending_until;
 };
 
 struct world {
@@ -39,7 +39,7 @@
 static msec
 node_now(const struct world *w, const struct node *n)
 {
-	return n->ahead + (msec)((double)w->now * n->speed);
+	return n->clock_offset + (msec)((double)w->now * n->clock_rate);
 }
 
 static void
@@ -52,7 +52,7 @@
 	for (i = 0; i < NODES; i++) {
 		lease_fold_init(&w->nodes[i].fold);
 		lease_client_init(&w->nodes[i].user, SERVICE, i + 1, 1);
-		w->nodes[i].speed = 1;
+		w->nodes[i].clock_rate = 1;
 	}
 }
 
@@ -63,14 +63,14 @@
 
 	for (i = 0; i < NODES; i++) {
 		lease_fold_finish(&w->nodes[i].fold);
-		free(w->nodes[i].flying);
+		free(w->nodes[i].pending_append);
 	}
 	for (i = 0; i < w->n; i++)
 		free(w->records[i]);
 }
 
 static void
-log_land(struct world *w, char *record)
+log_append(struct world *w, char *record)
 {
 	g_assert_cmpuint(w->n, <, RECORDS_MAX);
 	w->walls[w->n] = w->now;
@@ -98,23 +98,24 @@
 	enum lease_action act;
 
 	act = lease_client_tick(&n->user, node_now(w, n), &n->fold, &replaces);
-	if (act == LEASE_NOTHING || n->flying != NULL)
+	if (act == LEASE_NOTHING || n->pending_append != NULL)
 		return act;
 	log_id_make(id);
 	lease_client_claim_sent(
 	    &n->user, node_now(w, n), &n->fold, replaces, id);
-	n->flying = lease_claim_encode(
+	n->pending_append = lease_claim_encode(
 	    SERVICE, replaces, n->user.self, 1, LEASE_TERM, id);
-	n->lands_at = w->now + delay;
+	n->pending_until = w->now + delay;
 	return act;
 }
 
 static void
-node_land(struct world *w, struct node *n)
+node_append_pending(struct world *w, struct node *n)
 {
-	if (n->flying != NULL && w->now >= n->lands_at && !w->log_down) {
-		log_land(w, n->flying);
-		n->flying = NULL;
+	if (n->pending_append != NULL && w->now >= n->pending_until &&
+	    !w->log_down) {
+		log_append(w, n->pending_append);
+		n->pending_append = NULL;
 	}
 }
 
@@ -133,7 +134,7 @@
 	enum lease_action act = node_tick(w, n, 0);
 
 	g_assert_cmpint(act, !=, LEASE_NOTHING);
-	node_land(w, n);
+	node_append_pending(w, n);
 	node_read(w, n);
 }
 
@@ -150,8 +151,8 @@
 	world_init(&w);
 	node_tick(&w, a, 0);
 	node_tick(&w, b, 0);
-	node_land(&w, a);
-	node_land(&w, b);
+	node_append_pending(&w, a);
+	node_append_pending(&w, b);
 	node_read(&w, a);
 	node_read(&w, b);
 	g_assert_cmpuint(a->user.fencing, ==, 1);
@@ -162,7 +163,7 @@
 	check_tick(&w, b, LEASE_NOTHING);
 	w.now += LEASE_TERM / 2;
 	check_tick(&w, a, LEASE_RENEW);
-	node_land(&w, a);
+	node_append_pending(&w, a);
 	node_read(&w, a);
 	g_assert_cmpuint(a->user.fencing, ==, 3);
 	world_finish(&w);
@@ -213,7 +214,7 @@
 	world_init(&w);
 	node_claim(&w, a);
 	log_id_make(id);
-	log_land(&w, lease_release_encode(SERVICE, 1, a->user.self, 1, id));
+	log_append(&w, lease_release_encode(SERVICE, 1, a->user.self, 1, id));
 	lease_client_release(&a->user);
 	g_assert_false(lease_client_may_order(&a->user, w.now, true));
 	/*
@@ -249,7 +250,7 @@
 	w.now += LEASE_TERM;
 	g_assert_false(lease_client_may_order(&a->user, w.now, true));
 	w.log_down = false;
-	node_land(&w, a);
+	node_append_pending(&w, a);
 	node_read(&w, a);
 	g_assert_false(lease_client_may_order(&a->user, w.now, true));
 	node_claim(&w, a);
@@ -271,15 +272,15 @@
 
 	world_init(&w);
 	node_tick(&w, a, 0);
-	first = a->flying;
-	a->flying = NULL;
-	log_land(&w, first);
+	first = a->pending_append;
+	a->pending_append = NULL;
+	log_append(&w, first);
 	w.now += LEASE_TERM - 1;
 	node_tick(&w, a, 0);
-	g_assert_nonnull(a->flying);
+	g_assert_nonnull(a->pending_append);
 	node_read(&w, a);
 	g_assert_cmpuint(a->user.fencing, ==, 0);
-	node_land(&w, a);
+	node_append_pending(&w, a);
 	node_read(&w, a);
 	g_assert_cmpuint(a->user.fencing, ==, 0);
 	node_claim(&w, a);
@@ -358,7 +359,7 @@
 
 	w->now += g_rand_int_range(rand, 0, 200);
 	for (i = 0; i < NODES; i++)
-		node_land(w, &w->nodes[i]);
+		node_append_pending(w, &w->nodes[i]);
 	switch (g_rand_int_range(rand, 0, 200)) {
 	case 0:
 		n->paused_until = w->now + g_rand_int_range(rand, 0, 60000);
@@ -401,9 +402,9 @@
 		rand = g_rand_new_with_seed(seed);
 		world_init(w);
 		for (i = 0; i < NODES; i++) {
-			w->nodes[i].speed =
+			w->nodes[i].clock_rate =
 			    g_rand_double_range(rand, 0.96, 1.04);
-			w->nodes[i].ahead =
+			w->nodes[i].clock_offset =
 			    g_rand_int_range(rand, 0, 1000000000);
 		}
 		for (i = 0; i < 8000 && w->n < RECORDS_MAX - NODES; i++)
--- a/tests/test-ledger.c
+++ b/tests/test-ledger.c
@@ -20,8 +20,8 @@
 	char *records[RECORDS_MAX];
 	msec walls[RECORDS_MAX];
 	unsigned int n;
-	char *flying[64];
-	unsigned int nflying;
+	char *in_flight[64];
+	unsigned int nin_flight;
 };
 
 enum request_state {
@@ -91,8 +91,8 @@
 		ledger_home_finish(&w->homes[i]);
 	for (i = 0; i < w->log.n; i++)
 		free(w->log.records[i]);
-	for (i = 0; i < w->log.nflying; i++)
-		free(w->log.flying[i]);
+	for (i = 0; i < w->log.nin_flight; i++)
+		free(w->log.in_flight[i]);
 }
 
 static struct request *
@@ -113,7 +113,7 @@
 }
 
 static void
-log_land(struct world *w, char *record)
+log_append(struct world *w, char *record)
 {
 	g_assert_cmpuint(w->log.n, <, RECORDS_MAX);
 	w->log.walls[w->log.n] = w->now;
@@ -141,7 +141,7 @@
 	w->now += LEDGER_BATCH_WAIT;
 	record = ledger_home_tick(h, w->now, id, &batch);
 	if (record != NULL) {
-		log_land(w, record);
+		log_append(w, record);
 		ledger_home_appended(h, batch, LEDGER_APPEND_DONE);
 	}
 	home_read(w, h, UINT64_MAX);
@@ -201,7 +201,7 @@
 	w.now += LEDGER_CLAIM_TIMEOUT;
 	g_assert_null(ledger_home_tick(&w.homes[0], w.now, id, &batch));
 	g_assert_cmpuint(a->undecided, ==, 1);
-	log_land(&w, record);
+	log_append(&w, record);
 	ledger_home_claim(&w.homes[1], w.now, &b->claim);
 	home_round(&w, &w.homes[1]);
 	g_assert_cmpint(b->verdict, ==, LEDGER_NOT_FIRST);
@@ -234,7 +234,7 @@
 	end.status = LEDGER_WITHDRAWN;
 	ledger_home_claim(&w.homes[0], w.now, &end);
 	home_round(&w, &w.homes[0]);
-	log_land(&w, delayed);
+	log_append(&w, delayed);
 	ledger_home_claim(&w.homes[0], w.now, &b->claim);
 	home_round(&w, &w.homes[0]);
 	g_assert_cmpuint(a->ours, ==, 0);
@@ -292,7 +292,7 @@
 	ledger_fold_gap(&h->fold, 5, w.now);
 	w.log.n = 0;
 	while (w.log.n < 4)
-		log_land(&w, strdup("{}"));
+		log_append(&w, strdup("{}"));
 	ledger_home_claim(h, w.now, &a->claim);
 	home_round(&w, h);
 	g_assert_cmpint(a->verdict, ==, LEDGER_UNDECIDABLE);
@@ -402,19 +402,19 @@
 		if (i == 0) {
 			free(record);
 			ledger_home_appended(h, batch, LEDGER_APPEND_FAILED);
-		} else if (i == 1 && w->log.nflying < 64) {
-			w->log.flying[w->log.nflying++] = record;
+		} else if (i == 1 && w->log.nin_flight < 64) {
+			w->log.in_flight[w->log.nin_flight++] = record;
 			ledger_home_appended(h, batch, LEDGER_APPEND_UNKNOWN);
 		} else {
 			if (i == 2)
-				log_land(w, strdup(record));
-			log_land(w, record);
+				log_append(w, strdup(record));
+			log_append(w, record);
 			ledger_home_appended(h, batch, LEDGER_APPEND_DONE);
 		}
 		return;
 	case 5: /* a delayed batch lands */
-		if (w->log.nflying > 0)
-			log_land(w, w->log.flying[--w->log.nflying]);
+		if (w->log.nin_flight > 0)
+			log_append(w, w->log.in_flight[--w->log.nin_flight]);
 		return;
 	case 6: /* a home is replaced and reads from the start */
 		if (g_rand_int_range(rand, 0, 20) != 0)
--- a/tests/test-log.c
+++ b/tests/test-log.c
@@ -11,7 +11,7 @@
 
 /* Runs `emit` with standard error redirected to a file; returns the output. */
 static char *
-captured(void (*emit)(void), bool json)
+capture_stderr(void (*emit)(void), bool json)
 {
 	g_autofree char *name = NULL;
 	char *text = NULL;
@@ -64,7 +64,7 @@
 static void
 test_fields(void)
 {
-	g_autofree char *text = captured(emit_node, true);
+	g_autofree char *text = capture_stderr(emit_node, true);
 	json_t *o = json_line(text);
 
 	assert_member(o, "part", "part");
@@ -79,7 +79,7 @@
 static void
 test_text(void)
 {
-	g_autofree char *text = captured(emit_node, false);
+	g_autofree char *text = capture_stderr(emit_node, false);
 
 	g_assert_cmpstr(text, ==, "part: entry-2 is gone\n");
 }
@@ -98,7 +98,7 @@
 static void
 test_escapes(void)
 {
-	g_autofree char *text = captured(emit_odd, true);
+	g_autofree char *text = capture_stderr(emit_odd, true);
 	json_t *o = json_line(text);
 
 	assert_member(o, "message", "Höfði \"quoted\" \\ \x01 \t\nline");
@@ -115,7 +115,7 @@
 static void
 test_invalid(void)
 {
-	g_autofree char *text = captured(emit_invalid, true);
+	g_autofree char *text = capture_stderr(emit_invalid, true);
 	json_t *o = json_line(text);
 
 	assert_member(o, "message", "cut in a character: H\xef\xbf\xbd");
--- a/tests/test-member.c
+++ b/tests/test-member.c
@@ -553,25 +553,25 @@
 	fleet_finish(&f);
 }
 
-static unsigned int lone_sent;
+static unsigned int single_sent;
 
 static void
-lone_send(
+single_send(
     struct members *ms, uint32_t address, uint16_t port, const sp_msg *msg)
 {
-	lone_sent++;
+	single_sent++;
 }
 
 static void
-lone_changed(struct members *ms, const struct member *m)
+single_changed(struct members *ms, const struct member *m)
 {
 }
 
-static const struct member_ops lone_ops = { lone_send, lone_changed };
+static const struct member_ops single_ops = { single_send, single_changed };
 
 /* A probe from entry-2 with an update about itself, unless refutation is -1. */
 static void
-lone_hear(struct members *ms, uint64_t incarnation, int refutation,
+single_receive_probe(struct members *ms, uint64_t incarnation, int refutation,
     sp_member_state state, bool leaving, unsigned int load)
 {
 	char name[] = "entry-2", domain[] = "hall-1";
@@ -593,7 +593,7 @@
 }
 
 static void
-lone_init(struct members *ms)
+single_init(struct members *ms)
 {
 	struct member_config cfg = { .name = "entry-1",
 		.domain = "hall-0",
@@ -601,7 +601,7 @@
 		.address = 1,
 		.peer_port = 7000 };
 
-	members_init(ms, &lone_ops, &cfg, 1000);
+	members_init(ms, &single_ops, &cfg, 1000);
 }
 
 /*
@@ -615,20 +615,20 @@
 	struct members ms;
 	struct member *m;
 
-	lone_init(&ms);
-	lone_hear(&ms, 5, 0, SP_ALIVE, true, 0);
+	single_init(&ms);
+	single_receive_probe(&ms, 5, 0, SP_ALIVE, true, 0);
 	m = members_find(&ms, name_hash("entry-2"));
 	g_assert_cmpint(m->state, ==, MEMBER_LEAVING);
-	lone_hear(&ms, 5, 0, SP_SUSPECT, false, 0);
+	single_receive_probe(&ms, 5, 0, SP_SUSPECT, false, 0);
 	g_assert_cmpint(m->state, ==, MEMBER_SUSPECT);
 	g_assert_true(m->leaving);
-	lone_hear(&ms, 5, 1, SP_ALIVE, false, 0);
+	single_receive_probe(&ms, 5, 1, SP_ALIVE, false, 0);
 	g_assert_cmpint(m->state, ==, MEMBER_LEAVING);
-	lone_hear(&ms, 5, 1, SP_DEAD, false, 0);
-	lone_hear(&ms, 5, 2, SP_ALIVE, false, 0);
+	single_receive_probe(&ms, 5, 1, SP_DEAD, false, 0);
+	single_receive_probe(&ms, 5, 2, SP_ALIVE, false, 0);
 	g_assert_cmpint(m->state, ==, MEMBER_LEAVING);
 	/* Only a new process under this name is not leaving. */
-	lone_hear(&ms, 6, 0, SP_ALIVE, false, 0);
+	single_receive_probe(&ms, 6, 0, SP_ALIVE, false, 0);
 	g_assert_cmpint(m->state, ==, MEMBER_ALIVE);
 	g_assert_false(m->leaving);
 	members_finish(&ms);
@@ -645,14 +645,14 @@
 	struct members ms;
 	struct member *m;
 
-	lone_init(&ms);
-	lone_hear(&ms, 6, 0, SP_ALIVE, false, 10);
-	lone_hear(&ms, 6, -1, SP_ALIVE, false, 20);
+	single_init(&ms);
+	single_receive_probe(&ms, 6, 0, SP_ALIVE, false, 10);
+	single_receive_probe(&ms, 6, -1, SP_ALIVE, false, 20);
 	m = members_find(&ms, name_hash("entry-2"));
 	g_assert_cmpuint(m->load_permille, ==, 20);
-	lone_sent = 0;
-	lone_hear(&ms, 5, 9, SP_DEAD, true, 900);
-	g_assert_cmpuint(lone_sent, ==, 0);
+	single_sent = 0;
+	single_receive_probe(&ms, 5, 9, SP_DEAD, true, 900);
+	g_assert_cmpuint(single_sent, ==, 0);
 	g_assert_cmpuint(m->load_permille, ==, 20);
 	g_assert_cmpint(m->state, ==, MEMBER_ALIVE);
 	g_assert_cmpuint(m->incarnation, ==, 6);
--- a/tests/test-pages.c
+++ b/tests/test-pages.c
@@ -200,7 +200,7 @@
  * past them.
  */
 static char *
-code_take(char **lines, unsigned int *i)
+code_block_read(char **lines, unsigned int *i)
 {
 	GString *s = g_string_new(NULL);
 
@@ -226,7 +226,7 @@
 		name = g_strdup(lines[i++] + strlen("From `"));
 		name[strcspn(name, "`")] = '\0';
 		source = file_read(name);
-		code = code_take(lines, &i);
+		code = code_block_read(lines, &i);
 		if (strstr(source, code) == NULL)
 			g_error(
 			    "%s lacks this code of STYLE.md:\n%s", name, code);
--- a/tests/test-poison.c
+++ b/tests/test-poison.c
@@ -325,7 +325,7 @@
 
 /* Guards against a node that is reconnected with stale state. */
 static void
-test_old_word(void)
+test_stale_state(void)
 {
 	struct world w;
 	unsigned int i;
@@ -422,7 +422,7 @@
 	g_test_add_func("/poison/missed", test_missed);
 	g_test_add_func("/poison/sent-again", test_sent_again);
 	g_test_add_func("/poison/one-at-a-time", test_one_at_a_time);
-	g_test_add_func("/poison/old-word", test_old_word);
+	g_test_add_func("/poison/old-word", test_stale_state);
 	g_test_add_func("/poison/owner-silent", test_owner_silent);
 	g_test_add_func("/poison/large", test_large);
 	return g_test_run();
--- a/tests/test-ring.c
+++ b/tests/test-ring.c
@@ -8,7 +8,7 @@
 #include <pthread.h>
 
 #define SENDERS 4
-#define EACH 20000
+#define PARCELS_PER_SENDER 20000
 
 struct parcel {
 	unsigned int sender;
@@ -18,7 +18,7 @@
 struct sender {
 	struct ring *ring;
 	unsigned int number;
-	struct parcel parcels[EACH];
+	struct parcel parcels[PARCELS_PER_SENDER];
 };
 
 static void *
@@ -27,7 +27,7 @@
 	struct sender *s = arg;
 	unsigned int i;
 
-	for (i = 0; i < EACH; i++) {
+	for (i = 0; i < PARCELS_PER_SENDER; i++) {
 		s->parcels[i] = (struct parcel){ s->number, i };
 		while (!ring_put(s->ring, &s->parcels[i]))
 			g_thread_yield();
@@ -50,7 +50,7 @@
 		senders[i].number = i;
 		pthread_create(&threads[i], NULL, sender_run, &senders[i]);
 	}
-	while (got < SENDERS * EACH) {
+	while (got < SENDERS * PARCELS_PER_SENDER) {
 		if ((p = ring_get(&r)) == NULL) {
 			g_thread_yield();
 			continue;
--- a/tests/test-settings.c
+++ b/tests/test-settings.c
@@ -8,7 +8,7 @@
 
 #include <string.h>
 
-#define GOOD                                                      \
+#define VALID_SETTINGS                                            \
 	"node: entry-1\n"                                         \
 	"domain: hall-grandi\n"                                   \
 	"listen: {caller: 127.0.0.1:80, control: 127.0.0.1:81,\n" \
@@ -97,7 +97,8 @@
 static void
 test_defaults(void)
 {
-	static const char text[] = GOOD "peer_key: 0123456789abcdef\n";
+	static const char text[] =
+	    VALID_SETTINGS "peer_key: 0123456789abcdef\n";
 	struct settings s;
 	struct findings f;
 
@@ -180,14 +181,15 @@
 	 * readable must therefore prevent the start instead of falling back to
 	 * no key.
 	 */
-	check(GOOD, "1:1 missing key \"peer_key\" or \"peer_key_file\" in the "
-		    "settings\n");
-	check(GOOD "peer_key: 0123456789abcdef\npeer_key_file: k\n",
+	check(VALID_SETTINGS,
+	    "1:1 missing key \"peer_key\" or \"peer_key_file\" in the "
+	    "settings\n");
+	check(VALID_SETTINGS "peer_key: 0123456789abcdef\npeer_key_file: k\n",
 	    "8:16 expected only one of peer_key and peer_key_file\n");
-	check(GOOD "peer_key_file: no/such/file\n",
+	check(VALID_SETTINGS "peer_key_file: no/such/file\n",
 	    "7:16 peer_key_file: Failed to open file “./no/such/file”: No "
 	    "such file or directory\n");
-	check(GOOD "peer_key: 0123456789abcde\n",
+	check(VALID_SETTINGS "peer_key: 0123456789abcde\n",
 	    "7:11 peer_key: expected 16 bytes or more, got 15\n");
 }
 
@@ -201,7 +203,8 @@
 	struct findings f;
 
 	g_file_set_contents(key, "0123456789abcdef\n", -1, NULL);
-	g_file_set_contents(file, GOOD "peer_key_file: key\n", -1, NULL);
+	g_file_set_contents(
+	    file, VALID_SETTINGS "peer_key_file: key\n", -1, NULL);
 	findings_init(&f);
 	g_assert_true(settings_load(&s, file, &f));
 	g_assert_cmpstr(s.peer_key, ==, "0123456789abcdef");
@@ -328,7 +331,8 @@
 }
 
 static void
-quiet(const char *part, GLogLevelFlags level, const char *text, gpointer arg)
+log_discard(
+    const char *part, GLogLevelFlags level, const char *text, gpointer arg)
 {
 }
 
@@ -337,13 +341,13 @@
 test_noise(void)
 {
 	static const char base[] =
-	    GOOD "peer_key: &k 0123456789abcdef\n"
-		 "tls: {certificate: *k, key: \"\\0\"}\n";
+	    VALID_SETTINGS "peer_key: &k 0123456789abcdef\n"
+			   "tls: {certificate: *k, key: \"\\0\"}\n";
 	char text[sizeof base];
 	unsigned int i, j;
 
-	g_log_set_handler("yaml", G_LOG_LEVEL_DEBUG, quiet, NULL);
-	g_log_set_handler("settings", G_LOG_LEVEL_DEBUG, quiet, NULL);
+	g_log_set_handler("yaml", G_LOG_LEVEL_DEBUG, log_discard, NULL);
+	g_log_set_handler("settings", G_LOG_LEVEL_DEBUG, log_discard, NULL);
 	for (i = 0; i < 20000; i++) {
 		memcpy(text, base, sizeof base);
 		for (j = g_test_rand_int_range(1, 6); j > 0; j--)
--- a/tests/test-share.c
+++ b/tests/test-share.c
@@ -17,7 +17,7 @@
 #define ORG 2
 #define STEP ((msec)10)
 /* Every request ends within this many steps. */
-#define FLIGHT_STEPS 50
+#define REQUEST_STEPS_MAX 50
 #define ANSWER_TOKENS 40
 
 struct world {
@@ -28,13 +28,13 @@
 	unsigned int per_second;    /* arriving requests */
 	unsigned int skew_permille; /* fraction of them sent to node 0 */
 	GRand *rand;
-	unsigned int ending[NODES_MAX][FLIGHT_STEPS]; /* by final step */
+	unsigned int ending[NODES_MAX][REQUEST_STEPS_MAX]; /* by final step */
 	unsigned int running[NODES_MAX];
 	unsigned int step;
 	/* Results of the run. */
 	int64_t worst[SHARE_KINDS]; /* sum of allowances, permille */
 	unsigned int most_running;
-	uint64_t came, admitted;
+	uint64_t arrived, admitted;
 	uint64_t messages;
 };
 
@@ -147,7 +147,7 @@
 {
 	unsigned int i = 0, end;
 
-	w.came++;
+	w.arrived++;
 	if (g_rand_int_range(w.rand, 0, 1000) >= (gint32)w.skew_permille)
 		i = (unsigned int)g_rand_int_range(
 		    w.rand, 0, (gint32)w.fleet.n);
@@ -159,14 +159,15 @@
 		return;
 	w.admitted++;
 	w.running[i]++;
-	end = w.step + (unsigned int)g_rand_int_range(w.rand, 1, FLIGHT_STEPS);
-	w.ending[i][end % FLIGHT_STEPS]++;
+	end = w.step +
+	      (unsigned int)g_rand_int_range(w.rand, 1, REQUEST_STEPS_MAX);
+	w.ending[i][end % REQUEST_STEPS_MAX]++;
 }
 
 static void
 world_end_requests(unsigned int i)
 {
-	unsigned int *n = &w.ending[i][w.step % FLIGHT_STEPS];
+	unsigned int *n = &w.ending[i][w.step % REQUEST_STEPS_MAX];
 
 	for (; *n > 0; (*n)--) {
 		w.running[i]--;
@@ -225,7 +226,7 @@
 static void
 world_reset(void)
 {
-	w.came = w.admitted = w.messages = 0;
+	w.arrived = w.admitted = w.messages = 0;
 	w.most_running = 0;
 	memset(w.worst, 0, sizeof w.worst);
 }
@@ -374,7 +375,7 @@
 			       "what came",
 		    seed, (int)w.worst[0], (int)w.worst[1], (int)w.worst[2],
 		    w.most_running,
-		    100.0 * (double)w.admitted / (double)w.came);
+		    100.0 * (double)w.admitted / (double)w.arrived);
 		for (i = 0; i < SHARE_KINDS; i++)
 			g_assert_cmpint(w.worst[i], <=, 1000);
 		w.fleet.loss_permille = 0;
@@ -430,12 +431,12 @@
 	world_finish();
 }
 
-static sp_msg caught;
+static sp_msg captured_message;
 
 static void
-op_catch(struct shares *sh, name_id to, const sp_msg *msg)
+op_capture(struct shares *sh, name_id to, const sp_msg *msg)
 {
-	caught = *msg;
+	captured_message = *msg;
 }
 
 /* Two nodes whose shares have been raised; returns the time after that. */
@@ -443,13 +444,13 @@
 pair_init(
     struct shares *lender, struct shares *borrower, struct doc_limits limits)
 {
-	static const struct share_ops catching = { op_catch, op_limits };
+	static const struct share_ops capture_ops = { op_capture, op_limits };
 	const name_id nodes[] = { 11, 12 };
 	msec t = 0;
 
 	w.limits = limits;
-	shares_init(lender, &catching, 11, 1, t);
-	shares_init(borrower, &catching, 12, 2, t);
+	shares_init(lender, &capture_ops, 11, 1, t);
+	shares_init(borrower, &capture_ops, 12, 2, t);
 	shares_set_nodes(lender, t, nodes, 2);
 	shares_set_nodes(borrower, t, nodes, 2);
 	for (t = 0; t < 10 * MSEC_SECOND; t += 250) {
@@ -474,9 +475,9 @@
 	t = pair_init(&lender, &borrower, (struct doc_limits){ 0, 0, 2 });
 	for (i = 0; i < 2; i++)
 		shares_admit(&borrower, t, SERVICE, ORG, 1);
-	shares_receive(&lender, t, 12, &caught);
-	g_assert_cmpuint(caught.sp_msg_u.share.give, ==, 1000);
-	shares_receive(&borrower, t + 3, 11, &caught);
+	shares_receive(&lender, t, 12, &captured_message);
+	g_assert_cmpuint(captured_message.sp_msg_u.share.give, ==, 1000);
+	shares_receive(&borrower, t + 3, 11, &captured_message);
 	g_assert_true(shares_admit(&borrower, t + 500, SERVICE, ORG, 1));
 	shares_request_ended(&borrower, t + 1000, SERVICE, ORG, 1, 1);
 	g_assert_false(shares_admit(
@@ -505,23 +506,23 @@
 	for (i = 0; i < 40; i++)
 		shares_admit(&borrower, t, SERVICE, ORG, 1);
 	shares_tick(&borrower, t);
-	ask = caught;
+	ask = captured_message;
 	g_assert_cmpuint(ask.sp_msg_u.share.ask, >, 0);
 	shares_receive(&lender, t + 900, 12, &ask);
-	g_assert_cmpuint(caught.sp_msg_u.share.give, >, 0);
+	g_assert_cmpuint(captured_message.sp_msg_u.share.give, >, 0);
 	while (shares_admit(&borrower, t + 1800, SERVICE, ORG, 1))
 		;
-	shares_receive(&borrower, t + 1800, 11, &caught);
+	shares_receive(&borrower, t + 1800, 11, &captured_message);
 	for (i = 0; shares_admit(&borrower, t + 1800, SERVICE, ORG, 1); i++)
 		;
-	g_assert_cmpuint(i, ==, caught.sp_msg_u.share.credit / 1000);
+	g_assert_cmpuint(i, ==, captured_message.sp_msg_u.share.credit / 1000);
 	g_assert_cmpuint(i, >, 0);
 	/* A duplicate of the answer must not count twice. */
-	shares_receive(&borrower, t + 1800, 11, &caught);
+	shares_receive(&borrower, t + 1800, 11, &captured_message);
 	g_assert_false(shares_admit(&borrower, t + 1800, SERVICE, ORG, 1));
 	g_assert_cmpint(shares_allowance(&borrower, t + SHARE_LOAN_TERM - 1,
 			    SERVICE, ORG, SHARE_REQUESTS),
-	    ==, 10 * 1000 + (int)caught.sp_msg_u.share.give);
+	    ==, 10 * 1000 + (int)captured_message.sp_msg_u.share.give);
 	g_assert_cmpint(shares_allowance(&borrower, t + SHARE_LOAN_TERM,
 			    SERVICE, ORG, SHARE_REQUESTS),
 	    ==, 10 * 1000);
@@ -605,12 +606,12 @@
 static void
 test_first_use_after_start(void)
 {
-	static const struct share_ops lone = { no_send, any_limits };
+	static const struct share_ops single_ops = { no_send, any_limits };
 	const name_id self = 7;
 	struct shares sh;
 	msec now, early = 0, late = 0;
 
-	shares_init(&sh, &lone, self, 1, 0);
+	shares_init(&sh, &single_ops, self, 1, 0);
 	shares_set_nodes(&sh, 0, &self, 1);
 	for (now = 0; now < 4 * SHARE_RAISE_DELAY; now += STEP) {
 		shares_tick(&sh, now);
