--- a/entry-poison.h
+++ b/entry-poison.h
@@ -55,7 +55,7 @@
  * The connection of a request to a server broke: starts a check of the server's
  * process. The request becomes a suspect if the process has ended. `waits`: the
  * request can wait for the result. Returns true if it has to; then
- * job_checked() is called.
+ * job_server_checked() is called.
  */
 bool entry_poison_connection_broke(
     struct job *, const struct server *, bool waits, msec);
