--- a/tests/test-ticket.c
+++ b/tests/test-ticket.c
@@ -40,9 +40,9 @@
 }
 
 /*
- * A driver books a haul, the answer is lost on the way, the app sends the
- * request again with its ticket. The booking must not be made twice: the
- * second use is told apart and finds the first by its serial.
+ * The answer to a booking is lost, and the app sends the request again with its
+ * ticket. The booking must not be made twice: the second use is detected and
+ * finds the first by its serial.
  */
 static void
 test_once(struct fixture *x, gconstpointer arg)
