--- a/capacity.c
+++ b/capacity.c
@@ -31,7 +31,10 @@
 /* Steps down: interval, and part of the needed servers removed by each. */
 #define CAPACITY_STEP_DOWN_MS 5000
 #define CAPACITY_STEP_DOWN_PERCENT 20
-/* Steps from lasting to reclaimable servers under load: interval and part. */
+/*
+ * Lasting servers are replaced by reclaimable ones under load in steps:
+ * interval, and the part of the lasting servers that each step replaces.
+ */
 #define CAPACITY_REPLACE_MS 2000
 #define CAPACITY_REPLACE_PERCENT 25
 /* Time after the boot time before missing servers are ordered again. */
@@ -164,11 +167,11 @@
 }
 
 void
-capacity_clear_ready(struct capacity *c, bool all)
+capacity_clear_ready(struct capacity *c, bool complete)
 {
 	unsigned int i, j, k;
 
-	c->ready_complete = all;
+	c->ready_complete = complete;
 	for (i = 0; i < c->nservices; i++) {
 		for (j = 0; j < CAPACITY_DOMAINS_MAX; j++) {
 			for (k = 0; k < CAPACITY_KINDS; k++)
@@ -328,7 +331,10 @@
 		   : 1.0;
 }
 
-/* Servers needed to process prompts at this rate in this part of their time. */
+/*
+ * Servers needed to process prompts at this rate, if each spends this
+ * percentage of its time on prompts.
+ */
 static double
 servers_for_rate(double tokens_per_ms, double percent)
 {
@@ -394,7 +400,10 @@
 			     : s->found_reclaimable + s->found_lasting;
 }
 
-/* The servers found have carried the load: keeps them until peaks are known. */
+/*
+ * The servers that a new duty holder found have carried the load, so it plans
+ * no fewer until it knows the peak demand.
+ */
 static void
 service_decide_needed(
     const struct capacity *c, struct capacity_service *s, msec now)
--- a/capacity.h
+++ b/capacity.h
@@ -56,7 +56,7 @@
 /* Limits from the settings. */
 struct capacity_limits {
 	unsigned int lasting_percent; /* minimum part of the servers needed */
-	/* Part of the planned reclaimable servers that is ordered. */
+	/* Percentage of the planned reclaimable servers that is ordered. */
 	unsigned int reclaimable_percent;
 	unsigned int spare_percent; /* added for bursts */
 };
@@ -86,7 +86,11 @@
 	struct capacity_config config;
 	struct capacity_domain domains[CAPACITY_DOMAINS_MAX];
 	GHashTable *reports; /* node to struct capacity_report */
-	/* Per second: tokens per ms, and running requests; newest: `second`. */
+	/*
+	 * Peak demand in each of the last seconds, the newest being `second`:
+	 * tokens per ms in `peaks` and, of urgent requests, `urgent_peaks`;
+	 * running requests in `busy_peaks`.
+	 */
 	double peaks[CAPACITY_PEAK_S], urgent_peaks[CAPACITY_PEAK_S];
 	double busy_peaks[CAPACITY_PEAK_S];
 	msec second;
@@ -131,7 +135,7 @@
 	unsigned int nservices;
 	struct capacity_service *services;
 	bool is_holder;		 /* this node is the duty holder */
-	bool ready_complete;	 /* the ready servers are complete */
+	bool ready_complete;	 /* every ready server is counted */
 	msec since;		 /* when `holds` was last set */
 	unsigned int nodes;	 /* nodes notified of each server change */
 	double change_allowance; /* server changes allowed now */
@@ -153,9 +157,9 @@
 void capacity_set_holder(struct capacity *, msec, bool);
 /*
  * Replace the counts of ready servers: clear, then add each ready server.
- * `all`: every server is known; without it nothing is ordered.
+ * `complete`: every server is known; otherwise nothing is ordered.
  */
-void capacity_clear_ready(struct capacity *, bool all);
+void capacity_clear_ready(struct capacity *, bool complete);
 void capacity_add_ready(
     struct capacity *, name_id service, const char *domain, enum capacity_kind);
 /* Handles a message of kind SP_DEMAND from a member node. */
--- a/dispatch-choose.c
+++ b/dispatch-choose.c
@@ -8,7 +8,10 @@
 
 /* Part of the first-token target that the engine itself may use. */
 #define FIRST_TOKEN_FRACTION 0.6
-/* Weight factors of engines that miss the targets, or failed recently. */
+/*
+ * Factors on the weight of an engine that misses the targets, and of one that
+ * failed recently.
+ */
 #define WEIGHT_UNSUITED 0.02
 #define WEIGHT_FAILED 0.001
 /* Slots assumed for an engine that has not reported any. */
--- a/dispatch-private.h
+++ b/dispatch-private.h
@@ -173,7 +173,10 @@
 struct reservation *queue_victim(struct queue *, unsigned int);
 /* Queued cost, in tokens, that is granted before this reservation. */
 double queue_cost_ahead(struct queue *, const struct reservation *);
-/* The part of the engine's rate, in tokens per ms, left for its class. */
+/*
+ * The part of the given rate of the engines, in tokens per ms, that is left for
+ * the reservation's class.
+ */
 double queue_class_rate(
     struct queue *, struct service *, const struct reservation *, double, msec);
 
@@ -356,7 +359,7 @@
 	unsigned int next_id;
 	struct timer_tree timers;
 	uint64_t timer_seq;
-	struct timer running_timer;
+	struct timer running_timer; /* next report of running requests */
 	struct timer expiry_timer;
 	STAILQ_HEAD(, local_msg) local; /* messages to the local node */
 	unsigned int depth;		/* nested dispatch_enter() calls */
--- a/place-private.h
+++ b/place-private.h
@@ -58,8 +58,8 @@
 void place_records_free(struct place *);
 
 /*
- * Sends all known rate limits to the coordinators of their servers; handles a
- * rate limit received from another node.
+ * Resends the rate limits received recently to the coordinators of their
+ * servers; handles a rate limit received from another node.
  */
 void place_rates_send(struct place *, msec);
 void place_rate_receive(struct place *, msec, name_id, const sp_place_rate *);
--- a/relay.c
+++ b/relay.c
@@ -251,7 +251,10 @@
 	msec wait = r->every * RELAY_RETRY_MIN_PERCENT / 100,
 	     most = r->every * RELAY_RETRY_MAX_PERCENT / 100;
 
-	/* The node cannot serve before its first read: no longer delays. */
+	/*
+	 * The delay does not grow before the first successful read, as the node
+	 * cannot serve without one.
+	 */
 	if (k->confirmed != MSEC_NEVER)
 		wait = MIN(wait << MIN(k->failures, 4), most);
 	k->failures++;
--- a/retry-budget.h
+++ b/retry-budget.h
@@ -28,7 +28,7 @@
 struct retry_budget {
 	RB_ENTRY(retry_budget) entry;
 	name_id service;
-	msec started;
+	msec started;  /* when this node started */
 	int64_t slice; /* number of the newest slice */
 	unsigned int requests[RETRY_SLICES];
 	unsigned int retries[RETRY_SLICES];
--- a/server-choose.c
+++ b/server-choose.c
@@ -24,8 +24,8 @@
 #define CHOOSE_CACHED_MS 15000
 /*
  * Cost of each running request to the others, in milliseconds. Under twice the
- * load, 18 instead of 6 gains 0.007 of worth (four sites of 9 to 18 servers,
- * 14 seeds each), and 0 instead of 6 loses 0.013.
+ * load, more requests are served in time with 18 than with 6, and fewer with 0
+ * (four sites of 9 to 18 servers).
  */
 #define CHOOSE_RUNNING_MS 18.0
 /* Cost of each consecutive failure, and of a server that rests after them. */
@@ -43,8 +43,8 @@
  * Cost of a light request on a server that is not quiet, and of a long prompt
  * on a quiet server. A long prompt delays all light requests on its server, so
  * it goes to a quiet one only if it would hardly be served in time elsewhere:
- * under three times the load light requests were worth 0.74 with 8 seconds and
- * 0.44 with 0.6 (60 nodes, 90 servers).
+ * under three times the load far more light requests are served in time with 8
+ * seconds than with 0.6 (60 nodes, 90 servers).
  */
 #define CHOOSE_MIX_LIGHT_MS 600.0
 #define CHOOSE_MIX_LONG_MS 8000.0
--- a/server-limit.c
+++ b/server-limit.c
@@ -21,9 +21,10 @@
 /* Requests beyond this part of the limit are near it. */
 #define LIMIT_NEAR 0.5
 /*
- * One request in this many may be late before the limit falls. 8 instead of 16
- * lost 0.02 of worth on servers whose streams are interrupted (60 nodes, 90
- * servers, the three worst loads) and gained nothing on the others.
+ * One request in this many may be late before the limit falls. With 8 instead
+ * of 16, fewer requests are served in time under the worst loads on servers
+ * where reading a prompt interrupts the running streams (60 nodes, 90 servers),
+ * and no more on other servers.
  */
 #define LIMIT_LATE_ONE_IN 16
 /*
@@ -38,8 +39,9 @@
  */
 #define REFUSALS_SMOOTH_MS 1000.0
 /*
- * How long the recorded share is used. A dead node is detected within one or
- * two seconds, and then the next coordinator replies.
+ * How long the recorded share of refused requests is used without new replies.
+ * A dead coordinator is detected within one or two seconds, and then the next
+ * coordinator replies.
  */
 #define REFUSALS_VALID_MS (3 * MSEC_SECOND)
 
--- a/server-mix.c
+++ b/server-mix.c
@@ -18,10 +18,11 @@
 /*
  * A route is light if its mean prompt is shorter than this part of the longest
  * route's. With 0.3, routes with a quarter of the longest prompt used the quiet
- * servers, and streams with the shortest prompts missed their gap targets: 0.24
- * of worth instead of 0.47 on servers that read 31 tokens per ms (9 servers,
- * twice the load, 7 seeds). The second value adds hysteresis: a route that
- * changes back and forth costs 0.05 of worth at low load.
+ * servers, and streams with the shortest prompts missed their gap targets, so
+ * that far fewer requests were served in time on servers that read 31 tokens
+ * per ms (9 servers, twice the load). The second value adds hysteresis: with a
+ * route that changes back and forth, fewer requests are served in time even at
+ * low load.
  */
 #define MIX_LIGHT_PART 0.18
 #define MIX_LIGHT_KEEP_PART 0.22
@@ -35,8 +36,8 @@
 /*
  * Planned streams of a quiet server at most, however many slots it has: each
  * light request has a prompt too, and reading it interrupts the other streams.
- * Under twice the load this gains 0.02 of worth with 18 servers of 64 slots,
- * and nothing with 9 of them (14 seeds each).
+ * Under twice the load, more requests are served in time with this maximum on
+ * 18 servers of 64 slots; on 9 of them it makes no difference.
  */
 #define MIX_STREAMS_MAX 16
 #define MIX_SLOTS_DEFAULT 32
--- a/server-rate.c
+++ b/server-rate.c
@@ -14,7 +14,7 @@
  * coordinator and reported to it afterwards.
  */
 #define RATE_DEBT 2
-/* Part of the rate that a young coordinator uses. */
+/* Part of a server's rate limit that a young coordinator uses. */
 #define RATE_YOUNG_PART 0.5
 /* How long a server is short of its limit after the last refused request. */
 #define RATE_SHORT_MS (3 * MSEC_SECOND)
--- a/server.c
+++ b/server.c
@@ -28,7 +28,8 @@
 #define REACH_SERVERS 3
 #define REACH_FACTOR 3
 /*
- * Minimum timeouts: with fewer, a node with few requests may have chosen only
+ * Minimum number of timeouts before the node concludes that it has lost its
+ * network access: with fewer, a node with few requests may have chosen only
  * crashed servers.
  */
 #define REACH_MISSES_MIN 2
@@ -241,7 +242,7 @@
 	return mark;
 }
 
-/* The server was still listed at the end of servers_keep_gone(). */
+/* The server is still listed after the period set by servers_keep_gone(). */
 static void
 server_set_ready(struct servers *s, struct server *v)
 {
--- a/usage.c
+++ b/usage.c
@@ -320,7 +320,10 @@
 	return x < y ? -1 : x > y;
 }
 
-/* Median lead of all clocks, the local one included, over the local one. */
+/*
+ * Median of the leads of the nodes' clocks over the local one, which is
+ * included with a lead of 0.
+ */
 static msec
 usage_median(struct usage *u, msec now, unsigned int *n)
 {
@@ -507,7 +510,7 @@
 		usage_set_time(u, (msec)msg->sp_msg_u.usage_time.wall_ms - now);
 }
 
-/* ---- as the holder ---- */
+/* ---- as the duty holder: totals of a window ---- */
 
 static bool
 window_is_whole(
