--- a/dispatch-choose.c
+++ b/dispatch-choose.c
@@ -12,8 +12,8 @@
  * Factors on the weight of an engine that misses the targets, and of one that
  * failed recently.
  */
-#define WEIGHT_UNSUITED 0.02
-#define WEIGHT_FAILED 0.001
+#define UNSUITED_WEIGHT_FACTOR 0.02
+#define FAILED_WEIGHT_FACTOR 0.001
 /* Slots assumed for an engine that has not reported any. */
 #define SLOTS_ASSUMED 4
 /* How long an engine is avoided after a failure, in ms: first and maximum. */
@@ -91,9 +91,9 @@
 	else if (st->service->token_ms > 0)
 		w /= st->service->token_ms;
 	if (!engine_meets_targets(st, e))
-		w *= WEIGHT_UNSUITED;
+		w *= UNSUITED_WEIGHT_FACTOR;
 	if (now < e->failed_until)
-		w *= WEIGHT_FAILED;
+		w *= FAILED_WEIGHT_FACTOR;
 	return w;
 }
 
--- a/dispatch-private.h
+++ b/dispatch-private.h
@@ -359,7 +359,7 @@
 	unsigned int next_id;
 	struct timer_tree timers;
 	uint64_t timer_seq;
-	struct timer running_timer; /* next report of running requests */
+	struct timer running_report_timer; /* next report of running requests */
 	struct timer expiry_timer;
 	STAILQ_HEAD(, local_msg) local; /* messages to the local node */
 	unsigned int depth;		/* nested dispatch_enter() calls */
--- a/dispatch-slots.c
+++ b/dispatch-slots.c
@@ -24,11 +24,11 @@
 #define DECREASE 0.9
 /*
  * Slots added per `limit` good samples: usually, and while recovering below
- * RECOVER_BELOW of the best limit.
+ * RECOVER_BELOW_FRACTION of the best limit.
  */
 #define INCREASE 0.5
 #define INCREASE_RECOVER 2
-#define RECOVER_BELOW 0.8
+#define RECOVER_BELOW_FRACTION 0.8
 #define BEST_LIMIT_DECAY 0.999
 /*
  * A request has waited inside the engine if its first token takes longer than
@@ -180,7 +180,7 @@
 
 	if (s->slow_start)
 		by = 1;
-	else if (s->limit < s->best_limit * RECOVER_BELOW)
+	else if (s->limit < s->best_limit * RECOVER_BELOW_FRACTION)
 		by = INCREASE_RECOVER / s->limit;
 	s->best_limit = MAX(s->limit, s->best_limit * BEST_LIMIT_DECAY);
 	if (full)
--- a/dispatch.c
+++ b/dispatch.c
@@ -582,11 +582,12 @@
 	self->incarnation = p->incarnation;
 	self->domain = p->domain;
 	self->takes_work = true;
-	p->running_timer.at = p->expiry_timer.at = MSEC_NEVER;
-	p->running_timer.fire = entry_report_due;
+	p->running_report_timer.at = p->expiry_timer.at = MSEC_NEVER;
+	p->running_report_timer.fire = entry_report_due;
 	p->expiry_timer.fire = owner_expire_due;
 	if (policy->owners) {
-		timer_set(d, &p->running_timer, now + RUNNING_REPORT_INTERVAL);
+		timer_set(
+		    d, &p->running_report_timer, now + RUNNING_REPORT_INTERVAL);
 		timer_set(d, &p->expiry_timer, now + EXPIRY_INTERVAL);
 	}
 	return true;
--- a/place-private.h
+++ b/place-private.h
@@ -61,7 +61,7 @@
  * Resends the rate limits received recently to the coordinators of their
  * servers; handles a rate limit received from another node.
  */
-void place_rates_send(struct place *, msec);
+void place_resend_rates(struct place *, msec);
 void place_rate_receive(struct place *, msec, name_id, const sp_place_rate *);
 /*
  * As coordinator: lists up to SAVORY_RATED_MAX rate limits for a reply;
--- a/place-rate.c
+++ b/place-rate.c
@@ -85,7 +85,7 @@
 }
 
 void
-place_rates_send(struct place *p, msec now)
+place_resend_rates(struct place *p, msec now)
 {
 	struct server *v;
 
--- a/place.c
+++ b/place.c
@@ -504,7 +504,7 @@
 	p->nnodes = n;
 	TAILQ_FOREACH (r, &p->running, entry)
 		place_update_coordinator(p, now, r);
-	place_rates_send(p, now);
+	place_resend_rates(p, now);
 }
 
 /* ---- time ---- */
@@ -537,7 +537,7 @@
 		p->next_sweep = now + PLACE_SWEEP_MS;
 		place_expire_records(p, now);
 		if (now >= p->next_rates)
-			place_rates_send(p, now);
+			place_resend_rates(p, now);
 	}
 	return p->next_sweep;
 }
--- a/relay.c
+++ b/relay.c
@@ -15,7 +15,7 @@
  * confirmation until this node reads itself, and between reads during a burst
  * of changes.
  */
-#define RELAY_READER_PERCENT 60
+#define RELAY_READ_INTERVAL_PERCENT 60
 #define RELAY_POLL_PERCENT 75
 #define RELAY_REPOLL_PERCENT 25
 #define RELAY_UNCONFIRMED_PERCENT 150
@@ -30,7 +30,7 @@
 #define RELAY_RETRY_MIN_PERCENT 25
 #define RELAY_RETRY_MAX_PERCENT 60
 /* Nodes that polled within this multiple of `every` are notified of changes. */
-#define RELAY_NOTIFY_TIMES 3
+#define RELAY_POLLER_TTL_TIMES 3
 /*
  * A node that polled twice within this multiple of `every` uses the local node
  * as its reader.
@@ -201,7 +201,7 @@
 	relay_encode_marks(r, now, 0, &msg);
 	for (i = 0; i < G_N_ELEMENTS(r->pollers); i++) {
 		if (r->pollers[i].node != 0 &&
-		    now - r->pollers[i].at <= r->every * RELAY_NOTIFY_TIMES)
+		    now - r->pollers[i].at <= r->every * RELAY_POLLER_TTL_TIMES)
 			pollers[n++] = r->pollers[i].node;
 	}
 	r->ops->news(r, s, pollers, n);
@@ -284,7 +284,7 @@
 relay_due_at(const struct relay *r, msec now, enum relay_subject s)
 {
 	const struct relay_freshness *k = &r->known[s];
-	msec at = k->asked + r->every * RELAY_READER_PERCENT / 100;
+	msec at = k->asked + r->every * RELAY_READ_INTERVAL_PERCENT / 100;
 
 	if (k->asked < 0)
 		return 0;
--- a/server-choose.c
+++ b/server-choose.c
@@ -46,8 +46,8 @@
  * under three times the load far more light requests are served in time with 8
  * seconds than with 0.6 (60 nodes, 90 servers).
  */
-#define CHOOSE_MIX_LIGHT_MS 600.0
-#define CHOOSE_MIX_LONG_MS 8000.0
+#define CHOOSE_LIGHT_OFF_QUIET_MS 600.0
+#define CHOOSE_LONG_ON_QUIET_MS 8000.0
 
 static bool
 wish_excludes(const struct server_wish *w, name_id id)
@@ -265,7 +265,8 @@
 	if (*view->domain != '\0' && strcmp(v->domain, view->domain) != 0)
 		cost += CHOOSE_DOMAIN_MS;
 	if (view->quiet > 0 && (v->rank <= quiet_rank) != view->light)
-		cost += view->light ? CHOOSE_MIX_LIGHT_MS : CHOOSE_MIX_LONG_MS;
+		cost += view->light ? CHOOSE_LIGHT_OFF_QUIET_MS
+				    : CHOOSE_LONG_ON_QUIET_MS;
 	return cost;
 }
 
--- a/server-limit.c
+++ b/server-limit.c
@@ -11,13 +11,13 @@
  * Bounds in parts of the target. Below the minimum, requests are refused that a
  * server could begin at once; at the whole target, requests begin late.
  */
-#define LIMIT_MIN_PART 0.12
-#define LIMIT_MAX_PART 1.0
+#define LIMIT_MIN_TARGET_PART 0.12
+#define LIMIT_MAX_TARGET_PART 1.0
 /*
  * Initial value: a compromise between servers on which reading a prompt
  * interrupts the running streams, and servers on which it does not.
  */
-#define LIMIT_INITIAL_PART 0.25
+#define LIMIT_INITIAL_TARGET_PART 0.25
 /* Requests beyond this part of the limit are near it. */
 #define LIMIT_NEAR 0.5
 /*
@@ -48,7 +48,7 @@
 static double
 limit_part(const struct server_limit *l)
 {
-	return l->part > 0 ? l->part : LIMIT_INITIAL_PART;
+	return l->part > 0 ? l->part : LIMIT_INITIAL_TARGET_PART;
 }
 
 bool
@@ -66,14 +66,14 @@
 		part -= LIMIT_STEP * (LIMIT_LATE_ONE_IN - 1);
 	else if (near_limit)
 		part += LIMIT_STEP;
-	l->part = CLAMP(part, LIMIT_MIN_PART, LIMIT_MAX_PART);
+	l->part = CLAMP(part, LIMIT_MIN_TARGET_PART, LIMIT_MAX_TARGET_PART);
 	l->adjustments++;
 }
 
 msec
 server_limit_ms(const struct server_limit *l, msec target, bool last_tier)
 {
-	double part = last_tier ? limit_part(l) : LIMIT_MAX_PART;
+	double part = last_tier ? limit_part(l) : LIMIT_MAX_TARGET_PART;
 
 	return MAX((msec)((double)target * part), 1);
 }
--- a/server-mix.c
+++ b/server-mix.c
@@ -32,7 +32,7 @@
  * Planned use of a quiet server's slots, so that a burst of twice the traffic
  * still fits.
  */
-#define MIX_SLOTS_PART 0.4
+#define MIX_QUIET_SLOTS_PART 0.4
 /*
  * Planned streams of a quiet server at most, however many slots it has: each
  * light request has a prompt too, and reading it interrupts the other streams.
@@ -42,7 +42,7 @@
 #define MIX_STREAMS_MAX 16
 #define MIX_SLOTS_DEFAULT 32
 /* Maximum part of the servers that are quiet. */
-#define MIX_SERVERS_PART 0.34
+#define MIX_QUIET_SERVERS_PART 0.34
 
 static struct mix_route *
 mix_find(const struct mix *m, name_id route)
@@ -240,8 +240,9 @@
 	}
 	if (busy <= 0.01 || servers < 2)
 		return 0;
-	each = (slots > 0 ? slots : MIX_SLOTS_DEFAULT) * MIX_SLOTS_PART;
+	each = (slots > 0 ? slots : MIX_SLOTS_DEFAULT) * MIX_QUIET_SLOTS_PART;
 	each = MIN(each, MIX_STREAMS_MAX);
 	n = (unsigned int)ceil(busy * nodes / each);
-	return CLAMP(n, 1, MAX((unsigned int)(servers * MIX_SERVERS_PART), 1));
+	return CLAMP(
+	    n, 1, MAX((unsigned int)(servers * MIX_QUIET_SERVERS_PART), 1));
 }
--- a/server-rate.c
+++ b/server-rate.c
@@ -15,7 +15,7 @@
  */
 #define RATE_DEBT 2
 /* Part of a server's rate limit that a young coordinator uses. */
-#define RATE_YOUNG_PART 0.5
+#define RATE_YOUNG_COORDINATOR_PART 0.5
 /* How long a server is short of its limit after the last refused request. */
 #define RATE_SHORT_MS (3 * MSEC_SECOND)
 /* Part of the rate for all nodes that decide without a coordinator. */
@@ -79,7 +79,7 @@
 
 	if (r->per_s == 0)
 		return true;
-	rate_fill(r, now, young ? RATE_YOUNG_PART : 1);
+	rate_fill(r, now, young ? RATE_YOUNG_COORDINATOR_PART : 1);
 	if (r->tokens >= (leaves_one ? 2 : 1))
 		return true;
 	r->refused = now;
--- a/usage.c
+++ b/usage.c
@@ -325,7 +325,7 @@
  * included with a lead of 0.
  */
 static msec
-usage_median(struct usage *u, msec now, unsigned int *n)
+usage_clock_lead_median(struct usage *u, msec now, unsigned int *n)
 {
 	struct usage_clock_reading *seen;
 	GHashTableIter i;
@@ -370,7 +370,7 @@
 	gpointer key;
 	msec median;
 
-	median = usage_median(u, now, &n);
+	median = usage_clock_lead_median(u, now, &n);
 	if (n <= USAGE_CLOCKS_MIN)
 		return;
 	usage_set_time(u, u->raw_offset + median);
@@ -393,7 +393,7 @@
 {
 	sp_msg msg = { .kind = SP_USAGE_TIME };
 	unsigned int n;
-	msec median = usage_median(u, now, &n);
+	msec median = usage_clock_lead_median(u, now, &n);
 
 	if (n <= USAGE_CLOCKS_MIN ||
 	    llabs(ahead - median) < USAGE_CLOCK_TOLERANCE_MS)
