--- a/capacity.c
+++ b/capacity.c
@@ -16,8 +16,8 @@
  */
 #define CAPACITY_PREFILL_PERCENT 40.0
 /*
- * Maximum part; above it requests are late or refused, so servers of any price
- * are ordered.
+ * Maximum part of the time for prompts; above it requests are late or refused,
+ * so servers of any price are ordered.
  */
 #define CAPACITY_PREFILL_MAX_PERCENT 90.0
 /* Target number of streams per server at the peak. */
--- a/dispatch-private.h
+++ b/dispatch-private.h
@@ -174,8 +174,8 @@
 /* Queued cost, in tokens, that is granted before this reservation. */
 double queue_cost_ahead(struct queue *, const struct reservation *);
 /*
- * The part of the given rate of the engines, in tokens per ms, that is left for
- * the reservation's class.
+ * The part of the engine's given rate, in tokens per ms, that is left for the
+ * reservation's class.
  */
 double queue_class_rate(
     struct queue *, struct service *, const struct reservation *, double, msec);
--- a/dispatch-queue.c
+++ b/dispatch-queue.c
@@ -13,7 +13,8 @@
 #define FLOOR_CREDIT_MAX 3
 /* Time constant in ms by which granted cost decays. */
 #define GRANT_DECAY_MS 10000.0
-/* Minimum part of an engine that a class is expected to get, in permille. */
+/* Minimum part of an engine's rate that a class is expected to get, permille.
+ */
 #define RATE_MIN_PERMILLE 20
 /* Grants to requests on time before one to a late request. */
 #define LATE_INTERVAL 4
--- a/retry-budget.c
+++ b/retry-budget.c
@@ -9,7 +9,7 @@
 
 /* Factor by which the nodes may grow before this node is notified of it. */
 #define RETRY_NODES_GROWTH 2
-/* Part of the fraction that a node uses, in percent. */
+/* Part of the permitted retries per request that a node uses, in percent. */
 #define RETRY_USED_PERCENT 80
 
 RB_GENERATE(retry_budgets, retry_budget, entry, retry_budget_compare)
--- a/server-rate.c
+++ b/server-rate.c
@@ -18,7 +18,10 @@
 #define RATE_YOUNG_COORDINATOR_PART 0.5
 /* How long a server is short of its limit after the last refused request. */
 #define RATE_SHORT_MS (3 * MSEC_SECOND)
-/* Part of the rate for all nodes that decide without a coordinator. */
+/*
+ * Part of a server's rate limit that all nodes together would use if they
+ * decided without a coordinator.
+ */
 #define RATE_ALONE_PART 0.5
 /*
  * A longer time between two calls of server_rate_allows_alone() means that the
