--- a/entry-attempt.c
+++ b/entry-attempt.c
@@ -136,8 +136,9 @@
 /*
  * How long a server may send this node nothing before it is taken as dead, in
  * ms. In a large fleet each node has few requests on each server, so a server
- * that is reading prompts of other nodes' requests is silent too. The queue
- * known when the request was placed allows for them.
+ * that is reading prompts of other nodes' requests is silent too. To allow for
+ * them, the limit rises with the queue wait estimated when the request was
+ * placed.
  */
 static msec
 job_server_dead_ms(const struct job *j)
@@ -358,7 +359,10 @@
 	j->arrivals++;
 }
 
-/* Check again: the process may have been paused while connecting. */
+/*
+ * Check again whether the request may be sent: the process may have been paused
+ * while connecting.
+ */
 static bool
 attempt_sending(struct link *k, msec now)
 {
--- a/entry-duty.c
+++ b/entry-duty.c
@@ -54,7 +54,8 @@
 	bool report_pending;
 	uint64_t report_window; /* window of the pending report */
 	msec next_report, next_demand, next_node_update;
-	unsigned int renewals_until_notes; /* notes go with the one after */
+	/* Renewals of the duty without notes before the next one with notes. */
+	unsigned int renewals_until_notes;
 	unsigned int orders_pending;
 	msec leaving_since;
 	struct usage_process *processes;
@@ -664,8 +665,8 @@
 }
 
 /*
- * Sends usage counts to the holder and to the nodes that would take over, so
- * that a new holder already has them.
+ * Sets the nodes that receive usage counts: the holder of the duty and its
+ * standbys, so that a new holder already has the counts.
  */
 static void
 duty_push_keepers(struct entry *e)
--- a/entry-job.c
+++ b/entry-job.c
@@ -16,11 +16,17 @@
 
 /* Least Retry-After of answers with 503, if no other value below applies. */
 #define JOB_RETRY_AFTER_MS 400
-/* While this node starts, or when other nodes can check the key. */
+/* Retry-After while this node starts, or if other nodes can check the key. */
 #define JOB_RETRY_SOON_MS 150
-/* When no node will accept it soon: platform unreachable, or all stopping. */
+/*
+ * Retry-After when no node will accept the request soon: the platform is
+ * unreachable, or all nodes are stopping.
+ */
 #define JOB_RETRY_UNAVAILABLE_MS 1000
-/* When another node accepts it now: the time for a new connection. */
+/*
+ * Retry-After when another node would accept the request now: the time that the
+ * caller needs for a new connection.
+ */
 #define JOB_RETRY_OTHER_NODE_MS 20
 
 static void job_deadline_passed(struct loop_timer *, msec);
--- a/entry-start.h
+++ b/entry-start.h
@@ -34,7 +34,10 @@
 	unsigned int informed;	/* answers with a configuration version */
 	bool unanswered;	/* no node answered with a version */
 	struct route_table *table; /* deferred; NULL: none */
-	/* When the read that found none newer was sent; MSEC_NEVER: none. */
+	/*
+	 * When the read that found no configuration newer than `table` was
+	 * sent; MSEC_NEVER: there was none.
+	 */
 	msec read_sent_at;
 };
 
--- a/entry-stop.c
+++ b/entry-stop.c
@@ -56,11 +56,12 @@
 /*
  * Time to allow for a request that starts now, in ms; `most` is the time until
  * its deadline. While callers may still use this node's cached address, it is
- * what requests of the route hardly ever exceed. Later requests are accepted
- * only if their whole deadline fits: with the estimate, and thirty of sixty
- * nodes stopping at once so that callers had nowhere else to go, one in a
- * hundred of these late answers was cut off, and one in four hundred with twice
- * as many deviations.
+ * an upper estimate of the durations of the route's requests. Later it is
+ * `most`: a request is accepted only if its whole deadline fits. With the
+ * estimate, when thirty of sixty nodes stopped at once so that callers had
+ * nowhere else to go, one in a hundred of the late answers was cut off; with
+ * twice as many deviations of the durations in the estimate, one in four
+ * hundred.
  */
 static msec
 stop_time_needed(const struct entry *e, const struct entry_route_stats *k,
--- a/entry-table.c
+++ b/entry-table.c
@@ -124,8 +124,9 @@
 }
 
 /*
- * Put the received configuration in force. It does not count as proof that it
- * is the newest one: that comes from the reader's answers (relay.h).
+ * Put the received configuration in force. Receiving it does not prove that it
+ * is the newest one. The proof is the answers of the reader, the node that
+ * reads the platform for the others (relay.h).
  */
 static void
 table_apply(struct entry *e, msec now)
--- a/entry.h
+++ b/entry.h
@@ -217,7 +217,7 @@
 	JOB_BAD_REQUEST,
 	JOB_NO_ROUTE,
 	JOB_NO_KEY,	 /* the key is missing or unknown */
-	JOB_NOT_FRESH,	 /* keys cannot be checked: no recent proof */
+	JOB_NOT_FRESH,	 /* no recent proof that the keys are current */
 	JOB_STARTING,	 /* no configuration yet */
 	JOB_NO_SERVER,	 /* no server exists, or all were tried */
 	JOB_FULL,	 /* servers rejected it without running it */
--- a/lease.c
+++ b/lease.c
@@ -333,7 +333,10 @@
 	if (u->pending && now < u->sent_at + LEASE_TERM / 2)
 		return LEASE_NOTHING;
 	if (l == NULL) {
-		/* Unknown: wait until all folds have forgotten the old one. */
+		/*
+		 * If records may be missing, an unknown lease may exist: wait
+		 * until the folds of all nodes have dropped it.
+		 */
 		if (f->missing_until != -MSEC_NEVER &&
 		    now < f->gap_at + LEASE_MAX_AGE + LEASE_CLOCK_MARGIN)
 			return LEASE_NOTHING;
--- a/lease.h
+++ b/lease.h
@@ -113,7 +113,8 @@
 	uint64_t replaces;	/* offset of the record that it replaces */
 	bool replaces_released; /* that record had been released */
 	msec sent_at;	    /* time before the append of the claim was sent */
-	msec unfenced_from; /* orders to engines without fencing from here */
+	msec unfenced_from; /* from then on it may order from engines without
+			       fencing */
 };
 
 /* Arguments: the service, the local node's id and its incarnation. */
--- a/poison-record.c
+++ b/poison-record.c
@@ -61,7 +61,10 @@
 		record_free(p, r);
 }
 
-/* Move a record to the end of the list for its number of ends. */
+/*
+ * Append a record to the list for the number of server processes that its
+ * request ended: at most one, or more.
+ */
 static void
 record_move_to_list(struct poisons *p, struct poison_record *r)
 {
--- a/poison.h
+++ b/poison.h
@@ -54,11 +54,11 @@
 
 /* Server processes that a request ends before it is condemned. */
 #define POISON_ENDS 3
-/* Maximum number of ends in a record: the first and the newest ones. */
+/* Maximum number of ended processes in a record: the first and the newest. */
 #define POISON_ENDS_STORED 8
 /*
- * Maximum number of records. The oldest record with at most one end is evicted
- * first, then the oldest one.
+ * Maximum number of records. The oldest record with at most one ended process
+ * is evicted first, then the oldest of all.
  */
 #define POISON_RECORDS_MAX 1024
 
@@ -166,7 +166,7 @@
 	name_id self;
 	GRand *rand;
 	struct poison_records tree;
-	/* Records with at most one end, and with more; oldest first. */
+	/* Records with at most one ended process, and more; oldest first. */
 	struct poison_ages low, high;
 	unsigned int count;
 	bool closed;	      /* see poisons_close() */
@@ -187,7 +187,7 @@
 void poisons_init(
     struct poisons *, const struct poison_ops *, name_id self, GRand *);
 void poisons_finish(struct poisons *);
-/* Let no waiting run proceed from now on when another one ends. */
+/* From now on, let no waiting run proceed when another run ends. */
 void poisons_close(struct poisons *);
 /* Set all live nodes. Sends records to nodes that are new or restarted. */
 void poisons_set_nodes(
--- a/share.c
+++ b/share.c
@@ -628,7 +628,10 @@
 	return need - have;
 }
 
-/* Whether a node has a share and no loan or request to it is pending. */
+/*
+ * Whether a node can be asked for a loan: it has a share, and this node has
+ * neither a loan from it nor a pending request to it.
+ */
 static bool
 share_is_lender(const struct share_data *d, const struct share_org *o,
     const struct share_part *part, name_id id)
