--- a/entry-attempt.c
+++ b/entry-attempt.c
@@ -24,14 +24,14 @@
 #define JOB_GAP_TIMEOUT_FACTOR 4
 #define JOB_GAP_TIMEOUT_MIN_MS 1200
 
-static bool attempt_sending(struct link *, msec);
+static bool attempt_may_send(struct link *, msec);
 static bool attempt_head(struct link *, const struct http_head *, msec);
 static void attempt_body(struct link *, const char *, size_t, msec);
 static void attempt_complete(struct link *, msec);
 static void attempt_failed(struct link *, enum link_end, msec);
 static void job_retry_or_fail(struct job *, msec, enum job_code);
 
-static const struct link_ops job_link_ops = { attempt_sending, attempt_head,
+static const struct link_ops job_link_ops = { attempt_may_send, attempt_head,
 	attempt_body, attempt_complete, attempt_failed };
 
 /*
@@ -364,7 +364,7 @@
  * while connecting.
  */
 static bool
-attempt_sending(struct link *k, msec now)
+attempt_may_send(struct link *k, msec now)
 {
 	servers_reached(&k->owner->servers, now);
 	return job_recheck_admission(k->job, now);
--- a/entry-duty.c
+++ b/entry-duty.c
@@ -307,7 +307,7 @@
 }
 
 static void
-duty_look(struct entry *e)
+duty_request_lookup(struct entry *e)
 {
 	struct entry_duty *x = e->duty;
 
@@ -323,7 +323,7 @@
 	struct entry *e = entry_of(d);
 
 	e->duty->core_waits_for_lookup = true;
-	duty_look(e);
+	duty_request_lookup(e);
 }
 
 static void
@@ -610,23 +610,23 @@
 entry_duty_take_table(struct entry *e, const struct route_table *t)
 {
 	struct entry_duty *x = e->duty;
-	struct capacity_config *all;
+	struct capacity_config *scaling_configs;
 	unsigned int i, n = 0;
 
 	if (x == NULL)
 		return;
-	all = g_new(struct capacity_config, MAX(t->nservices, 1));
+	scaling_configs = g_new(struct capacity_config, MAX(t->nservices, 1));
 	for (i = 0; i < t->nservices; i++) {
 		if (t->services[i].scaling == NULL)
 			continue;
-		all[n++] = *t->services[i].scaling;
+		scaling_configs[n++] = *t->services[i].scaling;
 		if (e->settings->order_servers)
 			place_set_max_servers(&e->place, t->services[i].id,
 			    t->services[i].scaling->maximum *
 				t->services[i].scaling->ndomains);
 	}
-	capacity_set_config(&x->capacity, all, n);
-	g_free(all);
+	capacity_set_config(&x->capacity, scaling_configs, n);
+	g_free(scaling_configs);
 }
 
 /* ---- timer ---- */
@@ -797,7 +797,7 @@
 	if (duty_token(&x->duty, now) == 0)
 		return;
 	if (!x->notes_loaded) {
-		duty_look(e);
+		duty_request_lookup(e);
 		return;
 	}
 	if (x->usage.window > 0) {
--- a/entry-era.c
+++ b/entry-era.c
@@ -140,7 +140,7 @@
 }
 
 uint64_t
-entry_era_mark(const struct entry *e, uint64_t mark)
+entry_era_mix_into_mark(const struct entry *e, uint64_t mark)
 {
 	return era_mix_mark(&e->era, mark);
 }
--- a/entry-era.h
+++ b/entry-era.h
@@ -34,7 +34,7 @@
 /* Makes the source write the record once an era has settled. */
 void entry_era_tick(struct entry *, msec);
 /* Mixes the era into a mark, so that marks of two eras never match. */
-uint64_t entry_era_mark(const struct entry *, uint64_t mark);
+uint64_t entry_era_mix_into_mark(const struct entry *, uint64_t mark);
 void entry_era_metrics(const struct entry *, GString *, msec);
 void entry_era_dump(const struct entry *, GString *, msec);
 
--- a/entry-job.c
+++ b/entry-job.c
@@ -377,7 +377,7 @@
 	 * The end of one request must not release a waiting one: the loop below
 	 * frees jobs while it walks their list.
 	 */
-	poisons_close(&e->poison.core);
+	poisons_hold_waiting(&e->poison.core);
 	TAILQ_FOREACH_SAFE (j, &e->jobs, entry, next) {
 		if (j->link != NULL && j->link->sent)
 			j->may_have_run = true;
--- a/entry-relay.c
+++ b/entry-relay.c
@@ -34,8 +34,8 @@
  * of a partitioned fleet, for which one reader in each part is enough. The
  * other nodes read it too, in case the readers cannot reach the platform.
  */
-#define RELAY_NODES_MS 15000
-#define RELAY_NODES_OTHERS_MS 120000
+#define RELAY_NODES_INTERVAL_READER_MS 15000
+#define RELAY_NODES_INTERVAL_OTHERS_MS 120000
 
 static struct entry *
 entry_of_relay(struct relay *r)
@@ -133,7 +133,7 @@
 			v->sent_mark = server_mark(v);
 		return;
 	}
-	m->before = entry_era_mark(e, mark);
+	m->before = entry_era_mix_into_mark(e, mark);
 	m->list.list_val = list;
 	RB_FOREACH (v, server_tree, &e->servers.tree) {
 		own = server_mark(v);
@@ -144,12 +144,12 @@
 		v->sent_mark = own;
 		if (m->list.list_len < RELAY_SERVERS_PER_MESSAGE)
 			continue;
-		m->after = entry_era_mark(e, mark);
+		m->after = entry_era_mix_into_mark(e, mark);
 		relay_send_all(r, to, n, &msg);
 		m->before = m->after;
 		m->list.list_len = 0;
 	}
-	m->after = entry_era_mark(e, mark);
+	m->after = entry_era_mix_into_mark(e, mark);
 	m->position = e->source->ops->servers_position(e->source);
 	relay_send_all(r, to, n, &msg);
 }
@@ -185,7 +185,7 @@
 entry_relay_receive_servers(
     struct entry *e, name_id from, const sp_relay_servers *m, msec now)
 {
-	uint64_t mark = entry_era_mark(e, servers_mark(&e->servers));
+	uint64_t mark = entry_era_mix_into_mark(e, servers_mark(&e->servers));
 	u_int i;
 
 	if (from != e->relay.reader || m->before != mark)
@@ -196,7 +196,7 @@
 	}
 	for (i = 0; i < m->list.list_len; i++)
 		server_apply_change(e, &m->list.list_val[i], now);
-	mark = entry_era_mark(e, servers_mark(&e->servers));
+	mark = entry_era_mix_into_mark(e, servers_mark(&e->servers));
 	if (mark != m->after)
 		return;
 	relay_state_received(&e->relay, RELAY_SERVERS, mark);
@@ -233,7 +233,7 @@
 	}
 	fresh_record_proof(&e->fresh, asked);
 	relay_read_succeeded(&e->relay, e->loop.now, RELAY_CONFIGURATION,
-	    entry_era_mark(e, e->table->version), asked);
+	    entry_era_mix_into_mark(e, e->table->version), asked);
 }
 
 void
@@ -246,7 +246,7 @@
 entry_take_servers(struct entry *e, msec asked)
 {
 	relay_read_succeeded(&e->relay, e->loop.now, RELAY_SERVERS,
-	    entry_era_mark(e, servers_mark(&e->servers)), asked);
+	    entry_era_mix_into_mark(e, servers_mark(&e->servers)), asked);
 }
 
 void
@@ -271,8 +271,9 @@
 msec
 entry_nodes_interval(const struct entry *e)
 {
-	return e->relay.reader == e->relay.self ? RELAY_NODES_MS
-						: RELAY_NODES_OTHERS_MS;
+	return e->relay.reader == e->relay.self
+		   ? RELAY_NODES_INTERVAL_READER_MS
+		   : RELAY_NODES_INTERVAL_OTHERS_MS;
 }
 
 static void
@@ -284,7 +285,7 @@
 }
 
 void
-entry_relay_apply(struct entry *e)
+entry_relay_apply_settings(struct entry *e)
 {
 	e->relay.every = entry_relay_max_age(e);
 }
--- a/entry-state.c
+++ b/entry-state.c
@@ -314,7 +314,7 @@
 			     : 0;
 	e->budget = (struct retry_budget_config){ s->retry_window,
 		s->retry_permille, s->retry_fixed };
-	entry_relay_apply(e);
+	entry_relay_apply_settings(e);
 }
 
 bool
--- a/entry-table.c
+++ b/entry-table.c
@@ -39,7 +39,7 @@
  * complete read?
  */
 static bool
-table_is_outdated(const struct entry *e)
+other_table_reported(const struct entry *e)
 {
 	const struct relay_freshness *k = &e->relay.known[RELAY_CONFIGURATION];
 
@@ -54,7 +54,7 @@
 	sp_msg msg = { .kind = SP_TABLE_ASK };
 	sp_table_ask *ask = &msg.sp_msg_u.table_ask;
 
-	if (m == NULL || !table_is_outdated(e))
+	if (m == NULL || !other_table_reported(e))
 		return;
 	ask->have = e->table->version;
 	ask->want = t->version;
@@ -146,7 +146,7 @@
 	t->taken++;
 	entry_take_table(e, table, now);
 	relay_state_received(&e->relay, RELAY_CONFIGURATION,
-	    entry_era_mark(e, e->table->version));
+	    entry_era_mix_into_mark(e, e->table->version));
 }
 
 static void
--- a/entry.h
+++ b/entry.h
@@ -480,7 +480,7 @@
     struct entry *, name_id from, const sp_relay_servers *, msec);
 void entry_relay_init(struct entry *, msec);
 /* Apply changed settings. */
-void entry_relay_apply(struct entry *);
+void entry_relay_apply_settings(struct entry *);
 void entry_relay_finish(struct entry *);
 
 /* ---- metrics and dump: entry-metrics.c ---- */
--- a/lease.c
+++ b/lease.c
@@ -381,9 +381,9 @@
 	u->until = u->sent_at + l->term;
 	if (held)
 		return;
-	u->unfenced_from = now + LEASE_ORDER_TIMEOUT;
+	u->unfenced_orders_from = now + LEASE_ORDER_TIMEOUT;
 	if (!u->replaces_released)
-		u->unfenced_from += LEASE_TERM + LEASE_CLOCK_MARGIN;
+		u->unfenced_orders_from += LEASE_TERM + LEASE_CLOCK_MARGIN;
 	log_info("%s: lease acquired, fencing number %" PRIu64, u->service,
 	    u->fencing);
 }
@@ -437,5 +437,5 @@
 {
 	if (u->fencing == 0 || now + LEASE_ORDER_TIMEOUT > u->until)
 		return false;
-	return fenced || now >= u->unfenced_from;
+	return fenced || now >= u->unfenced_orders_from;
 }
--- a/lease.h
+++ b/lease.h
@@ -112,9 +112,9 @@
 	char id[LOG_ID_SIZE];	/* record id of that claim */
 	uint64_t replaces;	/* offset of the record that it replaces */
 	bool replaces_released; /* that record had been released */
-	msec sent_at;	    /* time before the append of the claim was sent */
-	msec unfenced_from; /* from then on it may order from engines without
-			       fencing */
+	msec sent_at; /* time before the append of the claim was sent */
+	msec unfenced_orders_from; /* from then on it may order from engines
+			       without fencing */
 };
 
 /* Arguments: the service, the local node's id and its incarnation. */
--- a/poison-record.c
+++ b/poison-record.c
@@ -133,7 +133,7 @@
 			return false;
 	}
 	record_make_room(r);
-	for (i = r->nlives; i > 0 && r->lives[i - 1].at > at; i--)
+	for (i = r->nlives; i > 0 && r->lives[i - 1].ended_at > at; i--)
 		r->lives[i] = r->lives[i - 1];
 	r->lives[i] = (struct poison_process){ life, at };
 	r->nlives++;
@@ -150,7 +150,7 @@
 		return false;
 	r->served = at;
 	for (i = 0; i < r->nlives; i++) {
-		if (r->lives[i].at > at)
+		if (r->lives[i].ended_at > at)
 			r->lives[kept++] = r->lives[i];
 	}
 	if (kept == r->nlives)
@@ -168,12 +168,12 @@
 
 	if (r->nlives < POISON_ENDS)
 		return 0;
-	first = r->lives[POISON_ENDS - 1].at + POISON_TRIAL_GRACE_MS;
+	first = r->lives[POISON_ENDS - 1].ended_at + POISON_TRIAL_GRACE_MS;
 	for (i = POISON_ENDS; i < r->nlives; i++) {
-		if (r->lives[i].at > first)
+		if (r->lives[i].ended_at > first)
 			wait *= POISON_TRIAL_FACTOR;
 	}
-	return r->lives[r->nlives - 1].at + wait;
+	return r->lives[r->nlives - 1].ended_at + wait;
 }
 
 bool
@@ -204,7 +204,7 @@
 	m->served_age_ms = age_encode(r->served, now);
 	for (i = 0; i < r->nlives; i++)
 		lives[i] = (sp_poison_life){ r->lives[i].life,
-			age_encode(r->lives[i].at, now) };
+			age_encode(r->lives[i].ended_at, now) };
 }
 
 /* Returns true if the record has changed. */
--- a/poison.c
+++ b/poison.c
@@ -599,7 +599,7 @@
 }
 
 void
-poisons_close(struct poisons *p)
+poisons_hold_waiting(struct poisons *p)
 {
 	p->closed = true;
 }
@@ -627,7 +627,8 @@
 		g_string_append_printf(s,
 		    "poison %s ends %u newest-ms %" PRId64
 		    " condemned %s trial-ms %" PRId64 "\n",
-		    name, record_ends(r), now - r->lives[r->nlives - 1].at,
+		    name, record_ends(r),
+		    now - r->lives[r->nlives - 1].ended_at,
 		    record_is_condemned(r, now) ? "yes" : "no",
 		    MAX(record_trial_at(r) - now, 0));
 	}
--- a/poison.h
+++ b/poison.h
@@ -74,7 +74,7 @@
 /* A server process that ended. */
 struct poison_process {
 	uint64_t life; /* identifies the process */
-	msec at;
+	msec ended_at;
 };
 
 /* The record of one request. Private to poison*.c. */
@@ -169,7 +169,7 @@
 	/* Records with at most one ended process, and more; oldest first. */
 	struct poison_ages low, high;
 	unsigned int count;
-	bool closed;	      /* see poisons_close() */
+	bool closed;	      /* see poisons_hold_waiting() */
 	unsigned int nunsent; /* records still to be sent to other nodes */
 	struct poison_runs waiting, granted;
 	struct poison_releases releases;
@@ -188,7 +188,7 @@
     struct poisons *, const struct poison_ops *, name_id self, GRand *);
 void poisons_finish(struct poisons *);
 /* From now on, let no waiting run proceed when another run ends. */
-void poisons_close(struct poisons *);
+void poisons_hold_waiting(struct poisons *);
 /* Set all live nodes. Sends records to nodes that are new or restarted. */
 void poisons_set_nodes(
     struct poisons *, msec, const struct poison_node *, unsigned int);
