--- a/duty.h
+++ b/duty.h
@@ -66,7 +66,7 @@
 	uint64_t expired; /* the lease expired before a renewal */
 	uint64_t rolled_back;	/* the log was rolled back at a holder */
 	uint64_t dropped;	/* invalid messages */
-	msec ms_without_holder; /* ms without a known holder */
+	msec ms_without_holder; /* ms without a known holder of the duty */
 };
 
 /* State of the election on the local node; allocated by the caller. */
--- a/entry-caller.c
+++ b/entry-caller.c
@@ -28,7 +28,7 @@
 #define CALLER_LINGER_MS 500
 /* A new connection is not closed as idle before this age. */
 #define CALLER_IDLE_CLOSE_MIN_AGE_MS 500
-/* Limits before there is a configuration. */
+/* Limits of a request while this node has no configuration. */
 #define CALLER_HEAD_MAX 16384
 #define CALLER_BODY_MAX (4 * 1024 * 1024)
 #define CALLER_TIMEOUT_MS 10000
--- a/entry-duty.c
+++ b/entry-duty.c
@@ -10,7 +10,7 @@
 #include <string.h>
 
 #define DUTY_TIMER_MS 100
-/* Interval at which coordinators report demand to the holder. */
+/* Interval at which coordinators report demand to the duty's holder. */
 #define DUTY_DEMAND_INTERVAL_MS 1000
 /*
  * The counts of a window become final once all processes have reported theirs,
--- a/lease.h
+++ b/lease.h
@@ -105,8 +105,8 @@
 	char service[NAME_SIZE];
 	name_id self;
 	uint64_t incarnation;
-	uint64_t fencing;	/* 0: this node is not the holder */
-	msec until;		/* end of its term, if it is the holder */
+	uint64_t fencing;	/* 0: this node does not hold the lease */
+	msec until;		/* end of its term, if it holds the lease */
 	bool leaving;		/* released; makes no further claim */
 	bool pending;		/* a claim was sent and not read back yet */
 	char id[LOG_ID_SIZE];	/* record id of that claim */
--- a/poison-record.c
+++ b/poison-record.c
@@ -107,7 +107,10 @@
 	return r->served != MSEC_NEVER && r->served >= at;
 }
 
-/* Make room for one end; drops the oldest one after the first POISON_ENDS. */
+/*
+ * Make room for one more ended process: drops the oldest one after the first
+ * POISON_ENDS.
+ */
 static void
 record_make_room(struct poison_record *r)
 {
